--- a/briarspur/coord/keystates.py
+++ b/briarspur/coord/keystates.py
@@ -1,4 +1,4 @@
-"""What is remembered of an idempotency key, and what becomes of a request that carries it."""
+"""The record of an idempotency key, and the possible results for a request that carries it."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -6,28 +6,28 @@
 from briarspur.coord.keys import Key
 
 __all__ = [
-    "SETTLED",
-    "Arrival",
+    "SETTLED_STATES",
+    "AdmitResult",
     "Expired",
     "Fresh",
-    "Full",
+    "MemoryFull",
     "Joined",
     "KeptAnswer",
     "KeyRecord",
     "KeyState",
-    "Lost",
+    "OutcomeLost",
     "NotHome",
     "NotIssued",
     "Replay",
-    "Reused",
+    "KeyReused",
 ]
 
 
 class KeyState(Enum):
-    """How far the request of a key has come.
+    """Progress of the request that belongs to a key.
 
-    ``FREE`` is a foreign key whose claim is ours and that was given back as not run: its next
-    arrival runs without a second claim.
+    ``FREE`` is a foreign key that this entry has claimed and that was not run: the next request
+    with the key runs without a second claim.
     """
 
     FREE = "free"
@@ -37,13 +37,13 @@
     UNKNOWN = "unknown"
 
 
-SETTLED = (KeyState.FREE, KeyState.FINISHED, KeyState.UNKNOWN)
-"""States in which nobody waits for the key."""
+SETTLED_STATES = (KeyState.FREE, KeyState.FINISHED, KeyState.UNKNOWN)
+"""States in which no request waits for the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeptAnswer:
-    """A whole answer that is remembered for repeats."""
+    """A complete answer that is stored for repeats."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -51,18 +51,19 @@
 
     @property
     def size(self) -> int:
-        """Bytes it takes, without Python's own overhead."""
+        """Size of the headers and body in bytes, without Python's object overhead."""
         return len(self.body) + sum(len(name) + len(value) for name, value in self.headers)
 
 
 @dataclass(frozen=True, slots=True)
 class Fresh:
-    """Accepted: the caller of this request runs the key.
+    """The key was accepted and this request runs it.
 
     Attributes
     ----------
     claimed : bool
-        Only for a foreign key: its claim is already ours. If False, claim it before dispatch.
+        Used for foreign keys only: this entry already holds the claim. If False, the key must be
+        claimed before dispatch.
     """
 
     claimed: bool = False
@@ -70,54 +71,56 @@
 
 @dataclass(frozen=True, slots=True)
 class Joined:
-    """The key runs already: this caller waits for the same outcome."""
+    """The key is already running; this request waits for the same outcome."""
 
 
 @dataclass(frozen=True, slots=True)
 class Replay:
-    """The key has run; ``answer`` is None if it was not kept."""
+    """The key has finished; ``answer`` is None if it was not stored."""
 
     answer: KeptAnswer | None
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
-    """The key was dispatched and its outcome is unknown; it is not run again."""
+class OutcomeLost:
+    """The key was dispatched and its outcome is unknown; it is never run again."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reused:
-    """The key belongs to another request."""
+class KeyReused:
+    """The key was first used for a request with another digest."""
 
 
 @dataclass(frozen=True, slots=True)
 class Expired:
-    """The key is older than its memory; it is not run."""
+    """The key has expired and its outcome may have been removed; it is not run."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotIssued:
-    """The key's expiry lies further ahead than any look-up sets it: it was forged."""
+    """The key's expiry is later than any look-up issues, so the key is forged."""
 
 
 @dataclass(frozen=True, slots=True)
-class Full:
-    """The memory is full of unexpired keys, or closed by a planned stop; not run."""
+class MemoryFull:
+    """Not run: the memory is full of unexpired keys, or closed for a planned stop."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotHome:
-    """Another incarnation is the key's home."""
+    """The home of the key is another incarnation."""
 
     incarnation: str
 
 
-Arrival = Fresh | Joined | Replay | Lost | Reused | Expired | NotIssued | Full | NotHome
+AdmitResult = (
+    Fresh | Joined | Replay | OutcomeLost | KeyReused | Expired | NotIssued | MemoryFull | NotHome
+)
 
 
 @dataclass(slots=True)
 class KeyRecord:
-    """What is remembered of one key; ``expiry`` in unix seconds."""
+    """The stored state of one key; ``expiry`` is in unix seconds."""
 
     key: Key
     body_digest: bytes
--- a/briarspur/coord/outcomes.py
+++ b/briarspur/coord/outcomes.py
@@ -101,7 +101,7 @@
             _dump(
                 {
                     "incarnation": memory.incarnation,
-                    "at": memory.time,
+                    "at": memory.unix_time,
                     "pages": pages,
                     "page": number,
                     "forgotten_through": forgotten,
--- a/briarspur/coord/proofs.py
+++ b/briarspur/coord/proofs.py
@@ -1,28 +1,30 @@
-"""What may be stated of a key that was not run: types that only proof can build."""
+"""Types that state that a key was not run, which can only be built with proof."""
 
 from dataclasses import dataclass
 from typing import Self
 
-__all__ = ["NotRun", "NotRunProof", "OutcomeUnknown", "release"]
+__all__ = ["NotRun", "NotRunProof", "OutcomeUnknown", "build_not_run"]
 
 _SEAL = object()
 
 
 class _Sealed:
-    """A fact that only this module may state."""
+    """Base of types that only this module can instantiate."""
 
     __slots__ = ()
 
     def __init__(self, seal: object) -> None:
         if seal is not _SEAL:
-            raise TypeError(f"{type(self).__name__} cannot be built here; see its docstring")
+            raise TypeError(
+                f"{type(self).__name__} cannot be instantiated directly; see its docstring"
+            )
 
 
 class NotRunProof(_Sealed):
-    """Proof that one dispatch ran nothing; built by :meth:`not_sent` or :meth:`shed` alone.
+    """Proof that one dispatch did not run; built by :meth:`not_sent` or :meth:`shed` only.
 
-    It names the attempt, because a late or doubled proof of an earlier attempt says nothing about
-    the one that runs now.
+    It carries the attempt id, because a late or duplicated proof of an earlier attempt says
+    nothing about the current one.
     """
 
     __slots__ = ("attempt_id", "reason")
@@ -34,22 +36,22 @@
 
     @classmethod
     def not_sent(cls, attempt_id: int) -> Self:
-        """State that no byte of the request was handed to a transport."""
+        """Build the proof that no byte of the request was passed to a transport."""
         return cls(_SEAL, attempt_id, "not sent")
 
     @classmethod
     def shed(cls, attempt_id: int) -> Self:
-        """Take the backend server's own word that it did not run the request."""
+        """Build the proof from the backend server's statement that it did not run the request."""
         return cls(_SEAL, attempt_id, "shed")
 
 
 class NotRun(_Sealed):
-    """The key was not run; built by :class:`KeyMemory` alone.
+    """States that the key was not run; built by :class:`KeyMemory` only.
 
     Attributes
     ----------
     request_ids : tuple of str
-        Every caller that waits, the one that ran it included: refuse them as not run.
+        All waiting requests, including the one that was to run the key; refuse them as not run.
     """
 
     __slots__ = ("request_ids",)
@@ -61,17 +63,18 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """Nothing proves that the key was not run.
+    """States that there is no proof that the key was not run.
 
     Attributes
     ----------
     request_ids : tuple of str
-        Callers to tell so; empty if the key is in the hands of a later attempt or settled.
+        Requests to answer with an unknown outcome; empty if a later attempt is running or the key
+        is settled.
     """
 
     request_ids: tuple[str, ...] = ()
 
 
-def release(request_ids: tuple[str, ...]) -> NotRun:
-    """Build the statement; for :class:`~briarspur.coord.once.KeyMemory` alone."""
+def build_not_run(request_ids: tuple[str, ...]) -> NotRun:
+    """Build a :class:`NotRun`; only for :class:`~briarspur.coord.once.KeyMemory`."""
     return NotRun(_SEAL, request_ids)
--- a/briarspur/dedupe.py
+++ b/briarspur/dedupe.py
@@ -102,7 +102,7 @@
         if parsed.is_error():
             return Final(Refusal(Code.MALFORMED_KEY, parsed.error.value))
         key = parsed.ok
-        arrival = self._keys.arrive(key, request.body_digest, request.request_id, now, wall)
+        arrival = self._keys.admit_request(key, request.body_digest, request.request_id, now, wall)
         if isinstance(arrival, once.NotHome):
             return self._send_home(key, arrival.incarnation, item, view)
         return self._at_home(key, arrival)
@@ -116,7 +116,7 @@
             return Final(Refusal(Code.HOME_UNREACHABLE, retry_after=1.0))
         return ToHome(home)
 
-    def _at_home(self, key: Key, arrival: once.Arrival) -> Step:
+    def _at_home(self, key: Key, arrival: once.AdmitResult) -> Step:
         match arrival:
             case once.Fresh(claimed=claimed):
                 return ClaimKey(key) if key.is_foreign and not claimed else Run(key)
@@ -126,9 +126,9 @@
                 return Final(Refusal(Code.ANSWERED_NOT_KEPT))
             case once.Replay(answer=answer) if answer is not None:
                 return Known(answer)
-            case once.Lost():
+            case once.OutcomeLost():
                 return Final(Refusal(Code.OUTCOME_UNKNOWN))
-            case once.Reused():
+            case once.KeyReused():
                 return Final(Refusal(Code.KEY_REUSED))
             case once.Expired():
                 return Final(Refusal(Code.KEY_EXPIRED))
--- a/briarspur/finals.py
+++ b/briarspur/finals.py
@@ -39,7 +39,7 @@
         """End a request whose whole answer has passed; callers that joined it get the same."""
         if work.key is not None:
             kept = KeptAnswer(answer.status, answer.headers, answer.body) if answer else None
-            for request_id in self._keys.finished(work.key, kept, now):
+            for request_id in self._keys.mark_finished(work.key, kept, now):
                 if request_id != work.request.request_id:
                     self._pass_on(request_id, answer, out)
         self.close(work)
@@ -63,7 +63,7 @@
         if work.key is None:
             self.finish(work, refusal, out)
             return
-        result = self._keys.not_run(work.key, proof)
+        result = self._keys.mark_not_run(work.key, proof)
         if not isinstance(result, NotRun):
             refusal = Refusal(Code.OUTCOME_UNKNOWN)
         self.finish(work, refusal, out)
@@ -71,7 +71,7 @@
 
     def unknown(self, work: Work, refusal: Refusal, now: float, out: list[Action]) -> None:
         """Tell every caller of a request that its outcome is unknown."""
-        waiting = self._keys.lost(work.key, now) if work.key is not None else ()
+        waiting = self._keys.mark_lost(work.key, now) if work.key is not None else ()
         self.finish(work, refusal, out)
         self._refuse_all(waiting, refusal, out)
 
@@ -109,7 +109,7 @@
 
     def once_only_caller_gone(self, work: Work) -> None:
         """Give a once-only request up if nothing was dispatched and no other caller waits."""
-        key = self._keys.leave(work.request.request_id)
+        key = self._keys.remove_caller(work.request.request_id)
         runners = [w for w in self._works_by_id.values() if key is not None and w.key == key]
         if work.claiming:
             # The claim may take effect and can't be made twice: its answer decides.
@@ -119,7 +119,7 @@
             self.close(work)
             return
         if key is not None:
-            self._keys.not_run(key)
+            self._keys.mark_not_run(key)
             for runner in runners:
                 self.close(runner)
         elif work.attempt is None and work.key is None:
--- a/briarspur/inflight.py
+++ b/briarspur/inflight.py
@@ -59,7 +59,7 @@
             self._placement.account.release(work.deadline)
             self._unmake(work, attempt)
             return None
-        if work.key is not None and not self._keys.dispatched(work.key, attempt.attempt_id):
+        if work.key is not None and not self._keys.mark_dispatched(work.key, attempt.attempt_id):
             self._placement.account.release(work.deadline)
             self._unmake(work, attempt)
             return None
@@ -83,7 +83,7 @@
         attempt = self._make(work, now)
         attempt.entry_id = member.address.entry_id
         attempt.key_home = to_home
-        if work.key is not None and not self._keys.dispatched(work.key, attempt.attempt_id):
+        if work.key is not None and not self._keys.mark_dispatched(work.key, attempt.attempt_id):
             self._unmake(work, attempt)
             return None
         self._placement.loads.sent(attempt.entry_id, attempt.service)
--- a/briarspur/pipeline.py
+++ b/briarspur/pipeline.py
@@ -156,7 +156,7 @@
         if key is None:
             return
         if claim.result is ClaimResult.OURS:
-            self._keys.claimed(key)
+            self._keys.mark_claimed(key)
             if work.caller_here:
                 self._routing.first_attempt(work)
                 self.admit(work, now, out)
@@ -181,7 +181,7 @@
     ) -> None:
         """Send the request, and those that joined it, to the entry that may run the key."""
         home = view.by_incarnation(holder) if holder is not None else None
-        for request_id in self._keys.not_run(key).request_ids:
+        for request_id in self._keys.mark_not_run(key).request_ids:
             each = self._finals.get(request_id)
             if each is None:
                 continue
@@ -289,7 +289,7 @@
             return False
         if failure is Failure.DEADLINE or not self._routing.take_retry(work):
             return False
-        return work.key is None or (proof is not None and self._keys.retry(work.key, proof))
+        return work.key is None or (proof is not None and self._keys.allow_retry(work.key, proof))
 
     def refuse(
         self,
--- a/tests/coord/test_outcomes.py
+++ b/tests/coord/test_outcomes.py
@@ -3,7 +3,7 @@
 import unittest
 
 from briarspur.coord.invariants import invariants
-from briarspur.coord.keystates import Full, KeptAnswer
+from briarspur.coord.keystates import KeptAnswer, MemoryFull
 from briarspur.coord.outcomes import (
     FinishedOutcome,
     ForgottenOutcome,
@@ -26,12 +26,12 @@
         memory = make_memory()
         kept, dropped, lost, running, held = (make_key(name) for name in "abcde")
         for number, key in enumerate((kept, dropped, lost, running, held)):
-            memory.arrive(key, DIGEST, key.text, 0.0, WALL)
+            memory.admit_request(key, DIGEST, key.text, 0.0, WALL)
             if key is not held:
-                memory.dispatched(key, number)
-        memory.finished(kept, ANSWER, 1.0)
-        memory.finished(dropped, None, 1.0)
-        memory.lost(lost, 1.0)
+                memory.mark_dispatched(key, number)
+        memory.mark_finished(kept, ANSWER, 1.0)
+        memory.mark_finished(dropped, None, 1.0)
+        memory.mark_lost(lost, 1.0)
         [page] = outcomes_of(memory)
         self.assertEqual(page.name, f"outcomes/{HOME}")
         self.assertEqual(read_outcome(page.value, kept), FinishedOutcome(DIGEST, ANSWER))
@@ -44,7 +44,7 @@
         """`Never run` is told of a key that the stopping entry dispatches a moment later."""
         memory = make_memory()
         outcomes_of(memory)
-        self.assertEqual(memory.arrive(make_key(), DIGEST, "a", 0.0, WALL), Full())
+        self.assertEqual(memory.admit_request(make_key(), DIGEST, "a", 0.0, WALL), MemoryFull())
 
     def test_reader_whose_clock_is_behind(self) -> None:
         """A passenger told `not run` books a second taxi.
@@ -54,21 +54,21 @@
         """
         memory = make_memory()
         key = make_key()
-        memory.arrive(key, DIGEST, "a", 0.0, WALL)
-        memory.dispatched(key, 1)
-        memory.finished(key, ANSWER, 1.0)
+        memory.admit_request(key, DIGEST, "a", 0.0, WALL)
+        memory.mark_dispatched(key, 1)
+        memory.mark_finished(key, ANSWER, 1.0)
         memory.expire(700.0, WALL + LIFETIME + 100)
         [page] = outcomes_of(memory)
         self.assertEqual(read_outcome(page.value, key), ForgottenOutcome())
 
     def test_pages_stay_below_the_size_of_an_object(self) -> None:
-        memory = make_memory(capacity=2_000, answer_bytes=4_000_000)
+        memory = make_memory(capacity=2_000, max_answer_bytes=4_000_000)
         answer = KeptAnswer(201, (), b"\x00" * 2_000)
         keys = [make_key(str(n)) for n in range(1_000)]
         for number, key in enumerate(keys):
-            memory.arrive(key, DIGEST, key.text, 0.0, WALL)
-            memory.dispatched(key, number)
-            memory.finished(key, answer, 0.0)
+            memory.admit_request(key, DIGEST, key.text, 0.0, WALL)
+            memory.mark_dispatched(key, number)
+            memory.mark_finished(key, answer, 0.0)
         values_by_name = {page.name: page.value for page in outcomes_of(memory)}
         self.assertLess(max(len(value) for value in values_by_name.values()), 1_000_000)
         for key in keys:
--- a/tests/coord/test_sweep.py
+++ b/tests/coord/test_sweep.py
@@ -60,7 +60,7 @@
 
     async def test_outcomes_go_too_and_other_objects_stay(self) -> None:
         memory = make_memory()
-        memory.arrive(make_key(), DIGEST, "a", 0.0, WALL)
+        memory.admit_request(make_key(), DIGEST, "a", 0.0, WALL)
         for page in outcomes_of(memory):
             await self.store.put(page.name, page.value, ABSENT)
         await self.mark("outcomes/new")
