--- a/briarspur/coord/claims.py
+++ b/briarspur/coord/claims.py
@@ -1,9 +1,9 @@
 """Claims of foreign keys: one conditional create in the object store before the dispatch.
 
-Two entries that are given the same foreign key cannot know of each other. The store lets one of
-them create the claim; only that one may dispatch the key, and it does so under its own memory.
-Claims are not deleted here but by :mod:`briarspur.coord.sweep`, long after the last repeat: a key
-whose claim is gone could run again.
+Two entries that receive the same foreign key do not know of each other. The store lets only one of
+them create the claim; only that entry may dispatch the key, and it records the key in its own
+memory. Claims are not deleted here but by :mod:`briarspur.coord.sweep`, long after the last
+repeat: a key whose claim is deleted could run again.
 """
 
 import asyncio
@@ -22,36 +22,36 @@
 from briarspur.coord.keys import Key
 from briarspur.coord.store import ABSENT, ObjectStore
 
-__all__ = ["ClaimOutcome", "ClaimOurs", "ClaimTaken", "ClaimUnsettled", "Claims", "claim_name"]
+__all__ = ["ClaimOutcome", "ClaimAcquired", "ClaimTaken", "ClaimUnresolved", "Claims", "claim_name"]
 
-DEFAULT_CONCURRENCY = 16
-DEFAULT_QUEUE = 200
-DEFAULT_TRIES = 3
-DEFAULT_PAUSE = 0.05
-UNSETTLED_TOKENS = 10_000
+DEFAULT_MAX_CONCURRENT = 16
+DEFAULT_MAX_QUEUED = 200
+DEFAULT_MAX_ATTEMPTS = 3
+DEFAULT_RETRY_DELAY_S = 0.05
+MAX_UNRESOLVED_TOKENS = 10_000
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimOurs:
-    """The claim is ours: this entry, and no other, may dispatch the key."""
+class ClaimAcquired:
+    """The claim is held by this entry, the only one that may dispatch the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimTaken:
-    """The key belongs to another; ``incarnation`` remembers what became of it."""
+    """Another incarnation holds the claim; ``incarnation`` records the outcome of the key."""
 
     incarnation: str
     body_digest: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimUnsettled:
-    """The store did not say whose the claim is: refuse the key as not run."""
+class ClaimUnresolved:
+    """It is unknown which entry holds the claim: refuse the key as not run."""
 
     reason: str
 
 
-ClaimOutcome = ClaimOurs | ClaimTaken | ClaimUnsettled
+ClaimOutcome = ClaimAcquired | ClaimTaken | ClaimUnresolved
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,14 +59,14 @@
     token: str
     incarnation: str
     body_digest: bytes
-    at: float
+    created_at: float
 
     def encode(self) -> bytes:
         fields = {
             "token": self.token,
             "incarnation": self.incarnation,
             "digest": self.body_digest.hex(),
-            "at": self.at,
+            "at": self.created_at,
         }
         return json.dumps(fields, separators=(",", ":")).encode()
 
@@ -78,7 +78,7 @@
 
 
 def claim_name(key: Key) -> str:
-    """Return the name of the object that is the claim of ``key``."""
+    """Return the name of the object that holds the claim of ``key``."""
     return f"claims/{key.digest}"
 
 
@@ -89,20 +89,21 @@
     ----------
     store : ObjectStore
     incarnation : str
-        Written into each claim, so that other entries can send repeats to it.
+        Stored in each claim, so that other entries can forward repeats to this one.
     new_token : callable
-        Returns a text that no other claim ever carries.
-    concurrency : int
-        Store calls at once.
-    queue : int
-        Claims that wait for a call; beyond it a claim is unsettled at once, so that callers get
-        their refusal now and not after the store's timeout.
-    tries : int
-        Calls made to settle a lost answer.
-    pause : float
-        Seconds between them.
+        Returns a string that is unique among all claims.
+    max_concurrent : int
+        Maximum number of concurrent store calls.
+    max_queued : int
+        Maximum number of claims that wait for a store call. Further claims are unresolved at once,
+        so that their callers are refused immediately and not after the store's timeout.
+    max_attempts : int
+        Maximum number of calls to resolve a write whose answer was lost.
+    retry_delay : float
+        Seconds between these calls.
     wall : callable
-        Unix seconds; says in each claim when it was made, for the one who deletes old claims.
+        Returns unix time in seconds, stored in each claim as its creation time for the sweeper
+        that deletes old claims.
     """
 
     def __init__(
@@ -110,72 +111,76 @@
         store: ObjectStore,
         incarnation: str,
         new_token: Callable[[], str],
-        concurrency: int = DEFAULT_CONCURRENCY,
-        queue: int = DEFAULT_QUEUE,
-        tries: int = DEFAULT_TRIES,
-        pause: float = DEFAULT_PAUSE,
+        max_concurrent: int = DEFAULT_MAX_CONCURRENT,
+        max_queued: int = DEFAULT_MAX_QUEUED,
+        max_attempts: int = DEFAULT_MAX_ATTEMPTS,
+        retry_delay: float = DEFAULT_RETRY_DELAY_S,
         wall: Callable[[], float] = time.time,
     ) -> None:
         self._wall = wall
         self._store = store
         self._incarnation = incarnation
         self._new_token = new_token
-        self._limit = concurrency + queue
-        self._slots = asyncio.Semaphore(concurrency)
-        self._open = 0
-        self._tries = tries
-        self._pause = pause
-        self._unsettled_tokens_by_name: OrderedDict[str, str] = OrderedDict()
+        self._max_pending = max_concurrent + max_queued
+        self._semaphore = asyncio.Semaphore(max_concurrent)
+        self._pending = 0
+        self._max_attempts = max_attempts
+        self._retry_delay = retry_delay
+        self._unresolved_tokens_by_name: OrderedDict[str, str] = OrderedDict()
 
     async def claim(self, key: Key, body_digest: bytes) -> ClaimOutcome:
-        """Claim a foreign key; call it once at a time for each key."""
-        if self._open >= self._limit:
-            return ClaimUnsettled("too many claims wait for the store")
-        self._open += 1
+        """Claim a foreign key. There must be only one call at a time for each key."""
+        if self._pending >= self._max_pending:
+            return ClaimUnresolved("too many claims are waiting for the store")
+        self._pending += 1
         try:
-            async with self._slots:
+            async with self._semaphore:
                 return await self._claim(claim_name(key), body_digest)
         finally:
-            self._open -= 1
+            self._pending -= 1
 
     async def _claim(self, name: str, body_digest: bytes) -> ClaimOutcome:
-        # An earlier claim of ours whose answer was lost may take effect even now. Under a new
-        # token we would take it for another entry's, and the key could never be run.
-        token = self._unsettled_tokens_by_name.pop(name, None) or self._new_token()
+        # An earlier claim of this entry whose answer was lost may still take effect. With a new
+        # token it would look like the claim of another entry, and the key could never be run.
+        token = self._unresolved_tokens_by_name.pop(name, None) or self._new_token()
         claim = _Claim(token, self._incarnation, body_digest, self._wall())
         outcome = await self._create(name, claim)
-        if isinstance(outcome, ClaimUnsettled):
-            self._remember(name, token)
+        if isinstance(outcome, ClaimUnresolved):
+            self._keep_token(name, token)
         return outcome
 
     async def _create(self, name: str, claim: _Claim) -> ClaimOutcome:
-        for _ in range(self._tries):
+        for _ in range(self._max_attempts):
             try:
                 await self._store.put(name, claim.encode(), ABSENT)
-                return ClaimOurs()
+                return ClaimAcquired()
             except StoreConflictError:
                 return await self._read_back(name, claim)
             except StoreUnavailableError as error:
-                return ClaimUnsettled(str(error))
+                return ClaimUnresolved(str(error))
             except StoreUnclearError:
-                await asyncio.sleep(self._pause)
-        return ClaimUnsettled("the store's answers were lost")
+                await asyncio.sleep(self._retry_delay)
+        return ClaimUnresolved("no answer from the store was received")
 
     async def _read_back(self, name: str, claim: _Claim) -> ClaimOutcome:
-        for _ in range(self._tries):
+        for _ in range(self._max_attempts):
             try:
                 found = await self._store.get(name)
             except StoreError as error:
-                return ClaimUnsettled(str(error))
-            # The claim is there; a read that does not find it is old.
+                return ClaimUnresolved(str(error))
+            # The claim exists; a read that does not find it is stale.
             if found is not None:
-                held = _Claim.decode(found.value)
-                ours = held.token == claim.token
-                return ClaimOurs() if ours else ClaimTaken(held.incarnation, held.body_digest)
-            await asyncio.sleep(self._pause)
-        return ClaimUnsettled("the store does not show the claim")
-
-    def _remember(self, name: str, token: str) -> None:
-        self._unsettled_tokens_by_name[name] = token
-        while len(self._unsettled_tokens_by_name) > UNSETTLED_TOKENS:
-            self._unsettled_tokens_by_name.popitem(last=False)
+                stored_claim = _Claim.decode(found.value)
+                is_ours = stored_claim.token == claim.token
+                return (
+                    ClaimAcquired()
+                    if is_ours
+                    else ClaimTaken(stored_claim.incarnation, stored_claim.body_digest)
+                )
+            await asyncio.sleep(self._retry_delay)
+        return ClaimUnresolved("reads from the store did not return the claim")
+
+    def _keep_token(self, name: str, token: str) -> None:
+        self._unresolved_tokens_by_name[name] = token
+        while len(self._unresolved_tokens_by_name) > MAX_UNRESOLVED_TOKENS:
+            self._unresolved_tokens_by_name.popitem(last=False)
--- a/briarspur/entry.py
+++ b/briarspur/entry.py
@@ -21,7 +21,7 @@
 from briarspur.coord.follower import Follower
 from briarspur.coord.members import Member
 from briarspur.coord.membership import Membership
-from briarspur.coord.outcomes import OutcomePage, outcomes_of
+from briarspur.coord.outcomes import OutcomePage, close_and_export
 from briarspur.coord.store import ABSENT, StoredObject
 from briarspur.core import Core
 from briarspur.daemon import run
@@ -177,7 +177,7 @@
         core = self.node.core
         if core is None:
             return
-        pages = outcomes_of(core.keys)
+        pages = close_and_export(core.keys)
         for page in pages:
             if not await self._write_page(page):
                 logs.event("outcomes-lost", logging.ERROR, object=page.name)
--- a/briarspur/keystore.py
+++ b/briarspur/keystore.py
@@ -4,12 +4,12 @@
 import time
 from collections.abc import Callable
 
-from briarspur.coord.claims import ClaimOurs, Claims, ClaimTaken, ClaimUnsettled
+from briarspur.coord.claims import ClaimAcquired, Claims, ClaimTaken, ClaimUnresolved
 from briarspur.coord.keys import Key, parse_key
 from briarspur.coord.outcomes import (
     FinishedOutcome,
+    OnOtherPage,
     Outcome,
-    WrongPage,
     page_name,
     read_outcome,
 )
@@ -62,9 +62,9 @@
             outcome = await self._claims.claim(parsed.ok, body_digest)
         finally:
             self._claiming_since_by_key.pop(key, None)
-        if isinstance(outcome, ClaimUnsettled):
+        if isinstance(outcome, ClaimUnresolved):
             self._unsettled_until = self._clock() + PAUSE_S
-        if isinstance(outcome, ClaimOurs):
+        if isinstance(outcome, ClaimAcquired):
             return SettledClaim(ClaimResult.OURS)
         if isinstance(outcome, ClaimTaken):
             return SettledClaim(ClaimResult.TAKEN, outcome.incarnation)
@@ -89,7 +89,7 @@
         if parsed.is_error():
             return FetchedOutcome(found=False)
         outcome = await self._read(page_name(incarnation), parsed.ok)
-        if isinstance(outcome, WrongPage):
+        if isinstance(outcome, OnOtherPage):
             outcome = await self._read(outcome.name, parsed.ok)
         if not isinstance(outcome, FinishedOutcome):
             return FetchedOutcome(found=False)
--- a/tests/coord/test_once_machine.py
+++ b/tests/coord/test_once_machine.py
@@ -19,13 +19,13 @@
     rule,
 )
 
-from briarspur.coord.claims import ClaimOurs, ClaimOutcome, Claims, ClaimTaken
+from briarspur.coord.claims import ClaimAcquired, ClaimOutcome, Claims, ClaimTaken
 from briarspur.coord.invariants import invariants
 from briarspur.coord.keys import Key, parse_key
 from briarspur.coord.keystates import Fresh, KeptAnswer, KeyState, NotHome
 from briarspur.coord.memorystore import HeldCall, MemoryStore, StoreFault
 from briarspur.coord.once import KeyMemory
-from briarspur.coord.outcomes import NeverRun, outcomes_of, page_name, read_outcome
+from briarspur.coord.outcomes import NeverRun, close_and_export, page_name, read_outcome
 from briarspur.coord.proofs import NotRun, NotRunProof
 
 ENTRY_COUNT = 3
@@ -107,7 +107,9 @@
     def start_entry(self) -> Entry:
         incarnation = f"{next(self.numbers):016x}"
         tokens = (f"{incarnation}-{n}" for n in itertools.count())
-        claims = Claims(self.store, incarnation, lambda: next(tokens), tries=2, pause=0.0)
+        claims = Claims(
+            self.store, incarnation, lambda: next(tokens), max_attempts=2, retry_delay=0.0
+        )
         entry = Entry(incarnation, KeyMemory(incarnation, 2, LIFETIME, skew=2.0), claims)
         self.entries_by_incarnation[incarnation] = entry
         return entry
@@ -250,7 +252,7 @@
                 self.handle_claim(entry, key, entry.pending_claims.pop(key).result())
 
     def handle_claim(self, entry: Entry, key: Key, outcome: ClaimOutcome) -> None:
-        if isinstance(outcome, ClaimOurs):
+        if isinstance(outcome, ClaimAcquired):
             entry.memory.mark_claimed(key)
             entry.queue.append(key)
             return
@@ -302,7 +304,7 @@
 
     def stop(self, index: int) -> None:
         self.store.held = False
-        for page in outcomes_of(self.entries[index].memory):
+        for page in close_and_export(self.entries[index].memory):
             self.loop.run_until_complete(self.store.put(page.name, page.value, 0))
         self.store.held = True
         self.kill(index)
--- a/tests/coord/test_sweep.py
+++ b/tests/coord/test_sweep.py
@@ -6,7 +6,7 @@
 from briarspur.coord.claims import Claims
 from briarspur.coord.keys import Key
 from briarspur.coord.memorystore import MemoryStore, StoreFault
-from briarspur.coord.outcomes import outcomes_of
+from briarspur.coord.outcomes import close_and_export
 from briarspur.coord.store import ABSENT
 from briarspur.coord.sweep import Sweeper, hex_prefixes
 from tests.coord.test_once import DIGEST, WALL, make_key, make_memory
@@ -61,7 +61,7 @@
     async def test_outcomes_go_too_and_other_objects_stay(self) -> None:
         memory = make_memory()
         memory.admit_request(make_key(), DIGEST, "a", 0.0, WALL)
-        for page in outcomes_of(memory):
+        for page in close_and_export(memory):
             await self.store.put(page.name, page.value, ABSENT)
         await self.mark("outcomes/new")
         await self.store.put("outcomes/other", b"no JSON", ABSENT)
--- a/tests/coord/test_writer.py
+++ b/tests/coord/test_writer.py
@@ -3,7 +3,7 @@
 import itertools
 import unittest
 
-from briarspur.coord.claims import ClaimOurs, Claims, ClaimTaken, ClaimUnsettled
+from briarspur.coord.claims import ClaimAcquired, Claims, ClaimTaken, ClaimUnresolved
 from briarspur.coord.envelope import CHAIN_LENGTH, open_envelope
 from briarspur.coord.errors import StoreUnavailableError
 from briarspur.coord.keys import Key
@@ -108,43 +108,49 @@
         self.store = MemoryStore()
         self.tokens = itertools.count()
         self.key = Key("a-key-of-the-caller")
-        self.a = self.claims("a")
-        self.b = self.claims("b")
+        self.a = self.make_claims("a")
+        self.b = self.make_claims("b")
 
-    def claims(self, incarnation: str, queue: int = 10) -> Claims:
+    def make_claims(self, incarnation: str, max_queued: int = 10) -> Claims:
         return Claims(
-            self.store, incarnation, lambda: f"t{next(self.tokens)}", 1, queue, tries=2, pause=0.0
+            self.store,
+            incarnation,
+            lambda: f"t{next(self.tokens)}",
+            1,
+            max_queued,
+            max_attempts=2,
+            retry_delay=0.0,
         )
 
-    async def test_second_entry_learns_the_first(self) -> None:
-        self.assertEqual(await self.a.claim(self.key, b"x"), ClaimOurs())
+    async def test_second_entry_finds_the_claim_of_the_first(self) -> None:
+        self.assertEqual(await self.a.claim(self.key, b"x"), ClaimAcquired())
         self.assertEqual(await self.b.claim(self.key, b"x"), ClaimTaken("a", b"x"))
         self.assertEqual(await self.a.claim(self.key, b"x"), ClaimTaken("a", b"x"))
 
-    async def test_lost_answer_is_settled(self) -> None:
+    async def test_claim_with_a_lost_answer_is_resolved(self) -> None:
         self.store.fail_next(LOST_ANSWER)
-        self.assertEqual(await self.a.claim(self.key, b"x"), ClaimOurs())
+        self.assertEqual(await self.a.claim(self.key, b"x"), ClaimAcquired())
 
-    async def test_unsettled_claim_is_found_again(self) -> None:
-        """A builder's order can never be placed, at any entry, though nothing ran it.
+    async def test_unresolved_claim_is_recognised_on_a_repeat(self) -> None:
+        """An order that was not run must not be refused at every entry from then on.
 
         The claim takes effect, its answer is lost and the store goes down; the entry refuses the
-        order as not run. The repeat must find the entry's own claim and run.
+        order as not run. The repeat must recognise the entry's own claim and run.
         """
         self.store.fail_next(LOST_ANSWER, UNAVAILABLE)
-        self.assertIsInstance(await self.a.claim(self.key, b"x"), ClaimUnsettled)
+        self.assertIsInstance(await self.a.claim(self.key, b"x"), ClaimUnresolved)
         self.assertEqual(await self.b.claim(self.key, b"x"), ClaimTaken("a", b"x"))
-        self.assertEqual(await self.a.claim(self.key, b"x"), ClaimOurs())
+        self.assertEqual(await self.a.claim(self.key, b"x"), ClaimAcquired())
 
-    async def test_outage_is_unsettled(self) -> None:
+    async def test_claim_during_an_outage_is_unresolved(self) -> None:
         self.store.stop()
-        self.assertIsInstance(await self.a.claim(self.key, b"x"), ClaimUnsettled)
+        self.assertIsInstance(await self.a.claim(self.key, b"x"), ClaimUnresolved)
 
-    async def test_stale_read_is_unsettled(self) -> None:
+    async def test_claim_with_a_stale_read_is_unresolved(self) -> None:
         await self.a.claim(self.key, b"x")
         self.store.stale_by = 1
-        self.assertIsInstance(await self.b.claim(self.key, b"x"), ClaimUnsettled)
+        self.assertIsInstance(await self.b.claim(self.key, b"x"), ClaimUnresolved)
 
     async def test_queue_is_bounded(self) -> None:
-        full = self.claims("c", queue=-1)
-        self.assertIsInstance(await full.claim(self.key, b"x"), ClaimUnsettled)
+        full = self.make_claims("c", max_queued=-1)
+        self.assertIsInstance(await full.claim(self.key, b"x"), ClaimUnresolved)
--- a/tools/keycost.py
+++ b/tools/keycost.py
@@ -7,7 +7,7 @@
 from briarspur.coord.keys import parse_key
 from briarspur.coord.keystates import KeptAnswer
 from briarspur.coord.once import KeyMemory
-from briarspur.coord.outcomes import outcomes_of
+from briarspur.coord.outcomes import close_and_export
 
 KEYS = 50_000
 ANSWER = KeptAnswer(201, ((b"content-type", b"application/json"),), b"x" * 100)
@@ -31,7 +31,7 @@
     fill(memory, wall)
     print(f"{(time.perf_counter() - begin) / KEYS * 1e6:.1f} us a key: parse, arrive, run, keep")
     begin = time.perf_counter()
-    pages = outcomes_of(memory)
+    pages = close_and_export(memory)
     spent = time.perf_counter() - begin
     largest = max(len(page.value) for page in pages)
     print(f"{spent * 1e3:.0f} ms to encode {len(pages)} pages, the largest of {largest} bytes")
