--- a/briarspur/coord/quarantine.py
+++ b/briarspur/coord/quarantine.py
@@ -1,20 +1,20 @@
-"""Quarantine: a request that crashes the servers it runs on is found and not run again.
+"""Quarantine: detect a request that crashes the servers it runs on, and stop running it.
 
-A request in flight on a server when it crashes becomes a suspect. Suspects run alone on a server,
-and one at a time, so the next crash names one of them; a suspect that is alone at its second crash
-is quarantined. A complete answer removes one suspicion. Verdicts spread between members and expire
-on each receiver's own clock.
+Requests that are in flight on a server when it crashes become suspects. Suspects run isolated on a
+server, and one at a time, so that the next crash identifies one of them; a suspect that ran alone
+at its second crash is quarantined. A complete answer removes one suspicion. Verdicts spread between
+members and expire by each receiver's own clock.
 
-The bound: let a request crash every server that runs it, and let ``c(e)`` be the most copies of it
-that member ``e`` had running at once before ``e`` first saw or learnt of a crash. Until the
-verdicts expire, it crashes at most::
+Bound on the damage: assume that a request crashes every server that runs it, and let ``c(e)`` be
+the maximum number of copies of it that member ``e`` had running at the same time before ``e``
+detected or was informed of a crash. Until the verdicts expire, the request crashes at most::
 
-    sum over the members e it was sent to, until e learns the verdict, of  1 + c(e)
+    sum over the members e that it was sent to, until e receives the verdict, of  1 + c(e)
 
-servers: the ``c(e)`` copies that ran before the first crash was seen, then one run alone. A caller
-that waits for its answer before it repeats has ``c(e) = 1``, so at most two servers for each member
-that it reaches before the verdict does; and two in all if verdicts arrive before the repeats. An
-innocent answer between two crashes allows one crash more.
+servers: the ``c(e)`` copies that ran before the first crash was detected, and one isolated run. A
+caller that waits for its answer before it repeats has ``c(e) = 1``, so it crashes at most two
+servers for each member that it reaches before the verdict does, and two in total if verdicts arrive
+before the repeats. Each complete answer between two crashes allows one more crash.
 """
 
 from collections.abc import Collection
@@ -30,7 +30,7 @@
     """How a request may run."""
 
     RUN = "run"
-    RUN_ALONE = "run alone"
+    RUN_ISOLATED = "run alone"
     REFUSE = "refuse"
 
 
@@ -40,24 +40,25 @@
 
     Attributes
     ----------
-    crashes : int
-        Crashes after which a request that was alone at the last one is quarantined.
+    crash_threshold : int
+        Number of crashes after which a request is quarantined, if it ran alone at the last one.
     lifetime : float
-        Seconds after which a suspicion or a quarantine ends.
-    remembered : int
-        Most requests remembered; the oldest mere suspicion goes first.
+        Seconds after which a suspicion or a quarantine expires.
+    max_requests : int
+        Maximum number of recorded requests. The oldest suspect is removed first, and a
+        quarantined request only if there is no suspect.
     """
 
-    crashes: int = 2
+    crash_threshold: int = 2
     lifetime: float = 600.0
-    remembered: int = 10_000
+    max_requests: int = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a member thinks of a request; ``age`` and ``lifetime`` in seconds.
+    """A member's assessment of a request; ``age`` and ``lifetime`` are in seconds.
 
-    A verdict carries its age rather than a time, because clocks of members can't be compared.
+    A verdict carries its age and not a time, because the clocks of members differ.
     """
 
     digest: bytes
@@ -68,78 +69,80 @@
 
 
 @dataclass(slots=True)
-class Record:
-    """What is known of one request, until ``expires_at``."""
+class SuspectRecord:
+    """The suspicion against one request, valid until ``expires_at``."""
 
     crashes: int
     quarantined: bool
-    began_at: float
+    suspected_at: float
     expires_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class AloneRun:
-    """A suspect running on a target that it has for itself."""
+class IsolatedRun:
+    """A suspect that is the only request on its target."""
 
     digest: bytes
     target: str
 
 
 class Quarantine:
-    """Suspects and quarantined requests, as one member knows them."""
+    """Suspects and quarantined requests that one member knows of."""
 
     def __init__(self, settings: QuarantineSettings | None = None) -> None:
         self._settings = settings or QuarantineSettings()
-        self._record_by_digest: dict[bytes, Record] = {}
-        self._alone: AloneRun | None = None
+        self._record_by_digest: dict[bytes, SuspectRecord] = {}
+        self._isolated_run: IsolatedRun | None = None
 
     @property
-    def alone_target(self) -> str | None:
-        """The target that a suspect has for itself now; nothing else may be sent there."""
-        return None if self._alone is None else self._alone.target
+    def isolated_target(self) -> str | None:
+        """The target reserved for an isolated run; no other request may be sent to it."""
+        return None if self._isolated_run is None else self._isolated_run.target
 
     def admit(self, digest: bytes, now: float) -> Admission:
         """Return how a request may run."""
-        record = self._record(digest, now)
+        record = self._current_record(digest, now)
         if record is None:
             return Admission.RUN
-        return Admission.REFUSE if record.quarantined else Admission.RUN_ALONE
+        return Admission.REFUSE if record.quarantined else Admission.RUN_ISOLATED
 
-    def begin_alone(self, digest: bytes, target: str, now: float) -> bool:
-        """Take this member's one place for suspects; False if it is taken or the request refused.
+    def begin_isolated_run(self, digest: bytes, target: str, now: float) -> bool:
+        """Reserve this member's only slot for isolated runs.
 
-        Two copies of a suspect that ran side by side on two servers could crash both. The place is
-        kept until the run on ``target`` ends: another copy's crash or answer does not free it.
+        Returns False if the slot is in use or the request is refused. There is only one slot
+        because two copies of a suspect that run on two servers could crash both. The slot is
+        reserved until the run on ``target`` ends: a crash or answer of another copy does not free
+        it.
         """
-        if self._alone is not None or self.admit(digest, now) is Admission.REFUSE:
+        if self._isolated_run is not None or self.admit(digest, now) is Admission.REFUSE:
             return False
-        self._alone = AloneRun(digest, target)
+        self._isolated_run = IsolatedRun(digest, target)
         return True
 
-    def end_alone(self, digest: bytes, target: str) -> None:
-        """Give the place back, however the run ended."""
-        if self._alone == AloneRun(digest, target):
-            self._alone = None
+    def end_isolated_run(self, digest: bytes, target: str) -> None:
+        """Free the slot for isolated runs, regardless of the result of the run."""
+        if self._isolated_run == IsolatedRun(digest, target):
+            self._isolated_run = None
 
-    def crashed(self, target: str, suspects: Collection[bytes], now: float) -> list[Verdict]:
-        """Suspect the requests that were in flight on a target when it crashed.
+    def record_crash(self, target: str, suspects: Collection[bytes], now: float) -> list[Verdict]:
+        """Add a suspicion against each request that was in flight on a target when it crashed.
 
         Returns
         -------
         list of Verdict
-            Of these requests, to be spread at once.
+            Verdicts on these requests, to be sent to the other members at once.
         """
-        distinct = set(suspects)
-        for digest in distinct:
-            record = self._suspect(digest, now)
-            if len(distinct) == 1 and record.crashes >= self._settings.crashes:
+        suspect_digests = set(suspects)
+        for digest in suspect_digests:
+            record = self._add_suspicion(digest, now)
+            if len(suspect_digests) == 1 and record.crashes >= self._settings.crash_threshold:
                 record.quarantined = True
-            self.end_alone(digest, target)
-        kept = sorted(distinct & self._record_by_digest.keys())
-        return [self._verdict(digest, now) for digest in kept]
+            self.end_isolated_run(digest, target)
+        recorded = sorted(suspect_digests & self._record_by_digest.keys())
+        return [self._verdict(digest, now) for digest in recorded]
 
-    def innocent(self, digest: bytes) -> None:
-        """Remove one suspicion, because the request was answered completely."""
+    def record_answer(self, digest: bytes) -> None:
+        """Remove one suspicion, because the request received a complete answer."""
         record = self._record_by_digest.get(digest)
         if record is None or record.quarantined:
             return
@@ -148,47 +151,53 @@
             del self._record_by_digest[digest]
 
     def verdicts(self, now: float) -> list[Verdict]:
-        """Return what may be told to other members, the newest first."""
+        """Return the verdicts to report to other members, newest first."""
         self._expire(now)
         records = self._record_by_digest.items()
-        newest = sorted(records, key=lambda item: item[1].began_at, reverse=True)
-        return [self._verdict(digest, now) for digest, _ in newest]
+        newest_first = sorted(records, key=lambda item: item[1].suspected_at, reverse=True)
+        return [self._verdict(digest, now) for digest, _ in newest_first]
 
-    def learn(self, verdict: Verdict, now: float) -> None:
-        """Take another member's verdict; the higher count stands, and it never lasts longer."""
-        left = min(verdict.lifetime, self._settings.lifetime) - verdict.age
-        if left <= 0.0 or verdict.crashes <= 0:
+    def merge_verdict(self, verdict: Verdict, now: float) -> None:
+        """Merge a verdict of another member.
+
+        The higher crash count wins. A verdict never lasts longer than this member's own lifetime
+        setting, and a verdict that adds nothing does not extend a record.
+        """
+        remaining = min(verdict.lifetime, self._settings.lifetime) - verdict.age
+        if remaining <= 0.0 or verdict.crashes <= 0:
             return
-        record = self._record(verdict.digest, now)
+        record = self._current_record(verdict.digest, now)
         if record is None:
-            self._remember(
+            self._add_record(
                 verdict.digest,
-                Record(verdict.crashes, verdict.quarantined, now - verdict.age, now + left),
+                SuspectRecord(
+                    verdict.crashes, verdict.quarantined, now - verdict.age, now + remaining
+                ),
             )
             return
         if verdict.crashes > record.crashes or verdict.quarantined > record.quarantined:
             record.crashes = max(record.crashes, verdict.crashes)
             record.quarantined = record.quarantined or verdict.quarantined
-            record.expires_at = max(record.expires_at, now + left)
+            record.expires_at = max(record.expires_at, now + remaining)
 
-    def _suspect(self, digest: bytes, now: float) -> Record:
-        record = self._record(digest, now)
+    def _add_suspicion(self, digest: bytes, now: float) -> SuspectRecord:
+        record = self._current_record(digest, now)
         expires_at = now + self._settings.lifetime
         if record is None:
-            record = Record(0, False, now, expires_at)
-            self._remember(digest, record)
+            record = SuspectRecord(0, False, now, expires_at)
+            self._add_record(digest, record)
         record.crashes += 1
-        record.began_at = now
+        record.suspected_at = now
         record.expires_at = expires_at
         return record
 
     def _verdict(self, digest: bytes, now: float) -> Verdict:
         record = self._record_by_digest[digest]
-        age = now - record.began_at
-        lifetime = record.expires_at - record.began_at
+        age = now - record.suspected_at
+        lifetime = record.expires_at - record.suspected_at
         return Verdict(digest, record.crashes, record.quarantined, age, lifetime)
 
-    def _record(self, digest: bytes, now: float) -> Record | None:
+    def _current_record(self, digest: bytes, now: float) -> SuspectRecord | None:
         record = self._record_by_digest.get(digest)
         if record is not None and record.expires_at <= now:
             del self._record_by_digest[digest]
@@ -196,23 +205,23 @@
         return record
 
     def _expire(self, now: float) -> None:
-        ended = [d for d, record in self._record_by_digest.items() if record.expires_at <= now]
-        for digest in ended:
+        expired = [d for d, record in self._record_by_digest.items() if record.expires_at <= now]
+        for digest in expired:
             del self._record_by_digest[digest]
 
-    def _remember(self, digest: bytes, record: Record) -> None:
-        if len(self._record_by_digest) >= self._settings.remembered:
+    def _add_record(self, digest: bytes, record: SuspectRecord) -> None:
+        if len(self._record_by_digest) >= self._settings.max_requests:
             oldest = min(
                 self._record_by_digest,
                 key=lambda d: (
                     self._record_by_digest[d].quarantined,
-                    self._record_by_digest[d].began_at,
+                    self._record_by_digest[d].suspected_at,
                 ),
             )
             del self._record_by_digest[oldest]
         self._record_by_digest[digest] = record
         invariants.check(
             "quarantine.bounded-memory",
-            len(self._record_by_digest) <= self._settings.remembered,
+            len(self._record_by_digest) <= self._settings.max_requests,
             len(self._record_by_digest),
         )
--- a/briarspur/exchange.py
+++ b/briarspur/exchange.py
@@ -85,7 +85,7 @@
             if load.entry_id != self._me:
                 self._placement.loads.learn(load, now)
         for verdict in news.verdicts:
-            self._quarantine.learn(verdict, now)
+            self._quarantine.merge_verdict(verdict, now)
         for notice in news.leaving:
             self.target_leaving(notice.target_id, now - notice.age, now)
 
--- a/briarspur/inflight.py
+++ b/briarspur/inflight.py
@@ -53,7 +53,7 @@
         """
         attempt = self._make(work, now)
         attempt.target_id = own.target.target_id
-        if work.alone and not self._quarantine.begin_alone(
+        if work.alone and not self._quarantine.begin_isolated_run(
             work.request.body_digest, own.target.target_id, now
         ):
             self._placement.account.release(work.deadline)
@@ -116,7 +116,7 @@
 
     def answered(self, work: Work, attempt: Attempt, status: int, now: float) -> None:
         """End an attempt whose whole answer has arrived, and learn from it."""
-        self._quarantine.innocent(work.request.body_digest)
+        self._quarantine.record_answer(work.request.body_digest)
         own = self._own_target(attempt)
         if own is not None:
             targets = self._placement.targets_by_service[attempt.service]
@@ -166,7 +166,7 @@
             targets = self._placement.targets_by_service[attempt.service]
             targets.ended(own, attempt.attempt_id)
             self._placement.account.release(work.deadline)
-            self._quarantine.end_alone(work.request.body_digest, own.target.target_id)
+            self._quarantine.end_isolated_run(work.request.body_digest, own.target.target_id)
 
     def _crashed(self, own: OwnTarget, now: float) -> None:
         # One crash breaks every connection to the target. Counting each as a crash would convict a
@@ -174,7 +174,7 @@
         # ramp begins at one again, so nothing new is sent before the last of them has broken.
         suspects = list(own.digests_by_attempt.values())
         own.digests_by_attempt.clear()
-        self._quarantine.crashed(own.target.target_id, suspects, now)
+        self._quarantine.record_crash(own.target.target_id, suspects, now)
         own.ramp.restart(now)
 
     def _record(self, attempt: Attempt, ok: bool, now: float) -> None:
--- a/briarspur/pipeline.py
+++ b/briarspur/pipeline.py
@@ -206,7 +206,7 @@
         if verdict is Admission.REFUSE:
             self.refuse(work, Refusal(Code.QUARANTINED), out)
             return
-        work.alone = verdict is Admission.RUN_ALONE
+        work.alone = verdict is Admission.RUN_ISOLATED
         if now >= work.deadline:
             self.refuse(work, Refusal(Code.DEADLINE_TOO_SHORT), out)
             return
@@ -308,7 +308,7 @@
         if verdict is Admission.REFUSE:
             self.refuse(work, Refusal(Code.QUARANTINED), out)
             return
-        work.alone = verdict is Admission.RUN_ALONE
+        work.alone = verdict is Admission.RUN_ISOLATED
         self._place(work, now, out)
 
     def _end_failed(
