--- a/briarspur/burn.py
+++ b/briarspur/burn.py
@@ -100,7 +100,7 @@
 
 async def _keep(lease: Lease) -> None:
     while True:
-        await lease.step()
+        await lease.renew_or_acquire()
         await asyncio.sleep(LEASE_S / LEASE_STEPS)
 
 
@@ -132,7 +132,7 @@
             reader = BurnReader(context.directory, context.fetcher)
             history = LevelHistory(context.store)
             lease = _lease(context.store)
-            burn = Burn(context.repository, reader, history, lambda: lease.not_known_lost)
+            burn = Burn(context.repository, reader, history, lambda: lease.may_be_held)
             self._burn = burn
             try:
                 await asyncio.gather(burn.run(), _keep(lease))
--- a/briarspur/coord/__init__.py
+++ b/briarspur/coord/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination parts that other programs can embed; nothing here knows briarspur's daemons."""
+"""Coordination modules that other programs can embed; independent of briarspur's daemons."""
--- a/briarspur/coord/claims.py
+++ b/briarspur/coord/claims.py
@@ -22,13 +22,13 @@
 from briarspur.coord.keys import Key
 from briarspur.coord.store import ABSENT, ObjectStore
 
-__all__ = ["ClaimOutcome", "ClaimAcquired", "ClaimTaken", "ClaimUnresolved", "Claims", "claim_name"]
+__all__ = ["ClaimOutcome", "ClaimAcquired", "ClaimTaken", "ClaimUnsettled", "Claims", "claim_name"]
 
 DEFAULT_MAX_CONCURRENT = 16
 DEFAULT_MAX_QUEUED = 200
 DEFAULT_MAX_ATTEMPTS = 3
 DEFAULT_RETRY_DELAY_S = 0.05
-MAX_UNRESOLVED_TOKENS = 10_000
+MAX_UNSETTLED_TOKENS = 10_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,13 +45,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimUnresolved:
+class ClaimUnsettled:
     """It is unknown which entry holds the claim: refuse the key as not run."""
 
     reason: str
 
 
-ClaimOutcome = ClaimAcquired | ClaimTaken | ClaimUnresolved
+ClaimOutcome = ClaimAcquired | ClaimTaken | ClaimUnsettled
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,10 +95,10 @@
     max_concurrent : int
         Maximum number of concurrent store calls.
     max_queued : int
-        Maximum number of claims that wait for a store call. Further claims are unresolved at once,
+        Maximum number of claims that wait for a store call. Further claims are unsettled at once,
         so that their callers are refused immediately and not after the store's timeout.
     max_attempts : int
-        Maximum number of calls to resolve a write whose answer was lost.
+        Maximum number of calls to settle a claim whose answer was lost.
     retry_delay : float
         Seconds between these calls.
     wall : callable
@@ -126,12 +126,12 @@
         self._pending = 0
         self._max_attempts = max_attempts
         self._retry_delay = retry_delay
-        self._unresolved_tokens_by_name: OrderedDict[str, str] = OrderedDict()
+        self._unsettled_tokens_by_name: OrderedDict[str, str] = OrderedDict()
 
     async def claim(self, key: Key, body_digest: bytes) -> ClaimOutcome:
         """Claim a foreign key. There must be only one call at a time for each key."""
         if self._pending >= self._max_pending:
-            return ClaimUnresolved("too many claims are waiting for the store")
+            return ClaimUnsettled("too many claims are waiting for the store")
         self._pending += 1
         try:
             async with self._semaphore:
@@ -142,10 +142,10 @@
     async def _claim(self, name: str, body_digest: bytes) -> ClaimOutcome:
         # An earlier claim of this entry whose answer was lost may still take effect. With a new
         # token it would look like the claim of another entry, and the key could never be run.
-        token = self._unresolved_tokens_by_name.pop(name, None) or self._new_token()
+        token = self._unsettled_tokens_by_name.pop(name, None) or self._new_token()
         claim = _Claim(token, self._incarnation, body_digest, self._wall())
         outcome = await self._create(name, claim)
-        if isinstance(outcome, ClaimUnresolved):
+        if isinstance(outcome, ClaimUnsettled):
             self._keep_token(name, token)
         return outcome
 
@@ -157,17 +157,17 @@
             except StoreConflictError:
                 return await self._read_back(name, claim)
             except StoreUnavailableError as error:
-                return ClaimUnresolved(str(error))
+                return ClaimUnsettled(str(error))
             except StoreUnclearError:
                 await asyncio.sleep(self._retry_delay)
-        return ClaimUnresolved("no answer from the store was received")
+        return ClaimUnsettled("no answer from the store was received")
 
     async def _read_back(self, name: str, claim: _Claim) -> ClaimOutcome:
         for _ in range(self._max_attempts):
             try:
                 found = await self._store.get(name)
             except StoreError as error:
-                return ClaimUnresolved(str(error))
+                return ClaimUnsettled(str(error))
             # The claim exists; a read that does not find it is stale.
             if found is not None:
                 stored_claim = _Claim.decode(found.value)
@@ -178,9 +178,9 @@
                     else ClaimTaken(stored_claim.incarnation, stored_claim.body_digest)
                 )
             await asyncio.sleep(self._retry_delay)
-        return ClaimUnresolved("reads from the store did not return the claim")
+        return ClaimUnsettled("reads from the store did not return the claim")
 
     def _keep_token(self, name: str, token: str) -> None:
-        self._unresolved_tokens_by_name[name] = token
-        while len(self._unresolved_tokens_by_name) > MAX_UNRESOLVED_TOKENS:
-            self._unresolved_tokens_by_name.popitem(last=False)
+        self._unsettled_tokens_by_name[name] = token
+        while len(self._unsettled_tokens_by_name) > MAX_UNSETTLED_TOKENS:
+            self._unsettled_tokens_by_name.popitem(last=False)
--- a/briarspur/coord/envelope.py
+++ b/briarspur/coord/envelope.py
@@ -1,4 +1,4 @@
-"""The form in which the conditional writer stores a value: who wrote it, and under which lease."""
+"""The stored form of a value of the conditional writer, with its write token and lease term."""
 
 import json
 from dataclasses import dataclass
@@ -7,23 +7,23 @@
 
 __all__ = ["Envelope", "open_envelope"]
 
-CHAIN_LENGTH = 16
+MAX_EARLIER_TOKENS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A value with the token of its write.
+    """A value with the token of the write that stored it.
 
     Attributes
     ----------
     token : str
-        Unique to one write, so that its writer can recognise it.
+        Unique to one write, so that its writer can recognise the write.
     term : int
-        Term of the lease it was written under; 0 without a lease.
+        Term of the lease under which it was written; 0 without a lease.
     body : str
-        What the writer wants to keep.
+        The value itself.
     earlier : tuple of str
-        Tokens of the writes before it, oldest first, at most ``CHAIN_LENGTH``.
+        Tokens of the preceding writes, oldest first, at most ``MAX_EARLIER_TOKENS``.
     """
 
     token: str
@@ -33,17 +33,17 @@
 
     @property
     def chain(self) -> tuple[str, ...]:
-        """Tokens of the latest writes, this one last."""
+        """Tokens of the latest writes, with the token of this write last."""
         return (*self.earlier, self.token)
 
     @property
-    def begins_with_creation(self) -> bool:
-        """Whether the chain goes back to the write that created the object."""
-        return len(self.earlier) < CHAIN_LENGTH
+    def reaches_creation(self) -> bool:
+        """Whether the chain includes the write that created the object."""
+        return len(self.earlier) < MAX_EARLIER_TOKENS
 
-    def follow(self, token: str, term: int, body: str) -> "Envelope":
-        """Return the envelope of a write made on top of this one."""
-        return Envelope(token, term, body, self.chain[-CHAIN_LENGTH:])
+    def successor(self, token: str, term: int, body: str) -> "Envelope":
+        """Return the envelope of a write that replaces this one."""
+        return Envelope(token, term, body, self.chain[-MAX_EARLIER_TOKENS:])
 
     def encode(self) -> bytes:
         """Return the stored form."""
@@ -52,7 +52,7 @@
 
 
 def open_envelope(value: bytes) -> Result[Envelope, str]:
-    """Return the envelope that ``value`` is, or why it is none."""
+    """Decode ``value`` into an envelope, or return why it is not one."""
     try:
         fields = json.loads(value)
         return Ok(
--- a/briarspur/coord/errors.py
+++ b/briarspur/coord/errors.py
@@ -1,4 +1,4 @@
-"""Errors raised by the coordination parts."""
+"""Errors raised by the coordination modules."""
 
 __all__ = [
     "CoordError",
@@ -12,15 +12,15 @@
 
 
 class CoordError(Exception):
-    """Base of every error of this package."""
+    """Base class of all errors of this package."""
 
 
 class InvariantError(CoordError):
-    """A property that must always hold did not hold."""
+    """An invariant was violated."""
 
 
 class StoreError(CoordError):
-    """The object store did not carry out a call."""
+    """A call to the object store failed."""
 
 
 class StoreConflictError(StoreError):
@@ -31,7 +31,7 @@
     name : str
         Name of the object.
     current_version : int
-        Version the store holds now; 0 if the object does not exist.
+        Current version in the store; 0 if the object does not exist.
     """
 
     def __init__(self, name: str, current_version: int) -> None:
@@ -41,16 +41,16 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The store could not be reached; the call surely had no effect."""
+    """The store could not be reached; the call certainly had no effect."""
 
 
 class StoreThrottledError(StoreUnavailableError):
-    """The store refused the call for its rate; the call surely had no effect.
+    """The store refused the call due to its rate limit; the call certainly had no effect.
 
     Parameters
     ----------
     retry_after : float
-        Seconds after which the store asks to be called again.
+        Seconds to wait before the next call, as requested by the store.
     """
 
     def __init__(self, retry_after: float) -> None:
--- a/briarspur/coord/invariants.py
+++ b/briarspur/coord/invariants.py
@@ -1,4 +1,4 @@
-"""Properties that must always hold: checked at all times, counted, and fatal in tests."""
+"""Invariants: checked at run time, with violations counted in daemons and raised in tests."""
 
 from collections import Counter
 
@@ -8,15 +8,15 @@
 
 
 class Invariants:
-    """Counts violations by name; raises on the first one when ``strict``.
+    """Counts violations by name, and raises on the first one if ``strict``.
 
     Attributes
     ----------
     strict : bool
-        Raise :class:`InvariantError` on a violation. Tests set it; daemons count and log instead,
-        because a caller is better served by a wrong counter than by a dead process.
+        Raise :class:`InvariantError` on a violation. Tests set it; daemons only count and log
+        violations, because a wrong counter harms callers less than a dead process.
     violations_by_name : Counter[str]
-        How often each property failed.
+        Number of violations of each invariant.
     """
 
     def __init__(self) -> None:
@@ -24,9 +24,9 @@
         self.violations_by_name: Counter[str] = Counter()
 
     def check(self, name: str, holds: bool, detail: object = "") -> bool:
-        """Record whether the property ``name`` holds; return ``holds``.
+        """Record whether the invariant ``name`` holds, and return ``holds``.
 
-        ``detail`` is formatted only on a violation, so pass the object, not a string made of it.
+        ``detail`` is formatted only on a violation, so pass the object and not a formatted string.
         """
         if holds:
             return True
--- a/briarspur/coord/lease.py
+++ b/briarspur/coord/lease.py
@@ -1,17 +1,20 @@
-"""A lease on an object of the store, with terms that fence off a paused holder.
-
-A holder can be paused past its lease and not know it; no local check defeats that, since the
-pause may come after the check. What defeats it is the order in which a contender takes over:
-
-1. It watches the lease's version unchanged for the lease's duration and a margin, on its own clock.
-2. It rewrites each protected object with a higher term. From here on the old holder's conditional
-   writes fail, because the object's version has changed, and it may not write over a higher term.
-3. It takes the lease, conditionally on the version that it watched.
-
-Fencing before taking means that no write of the old holder can come between: by the time the
-lease has changed hands, every write that the old holder based on its own term is void. A contender
-that fences and then fails at step 3 leaves a holder whose term is too low; that holder sees the
-higher term at its next write and gives the lease up.
+"""A lease on an object in the store, with terms that fence off a paused holder.
+
+A holder can be paused beyond the end of its lease without noticing. No local check prevents this,
+since the pause may come after the check. What prevents it is the order in which a contender takes
+over:
+
+1. It observes that the version of the lease does not change for the duration of the lease plus a
+   margin, by its own clock.
+2. It rewrites each protected object with a higher term. From then on the conditional writes of the
+   old holder fail, because the version of the object has changed, and the old holder may not
+   replace a higher term.
+3. It takes the lease, conditional on the version that it observed.
+
+Because fencing comes before taking, no write of the old holder can come in between: when the lease
+changes hands, all writes that the old holder based on its own term are void. If a contender fences
+and then fails in step 3, the term of the current holder is too low; that holder finds the higher
+term at its next write and gives up the lease.
 """
 
 import contextlib
@@ -29,7 +32,7 @@
 __all__ = ["FenceReport", "FencedOff", "FencedWriter", "Lease", "LeaseRecord", "NotHeld"]
 
 DEFAULT_MARGIN_SHARE = 0.25
-FENCE_TRIES = 4
+MAX_FENCE_ATTEMPTS = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,11 +42,11 @@
     Attributes
     ----------
     holder : str
-        Unique to one process, so that a restarted process does not take itself for the holder.
+        Unique to one process, so that a restarted process does not consider itself the holder.
     duration : float
-        Seconds the holder may act after each renewal.
+        Seconds for which the holder may act after each renewal.
     released : bool
-        The holder has given it up: no need to wait.
+        Whether the holder has released the lease, so that contenders need not wait.
     """
 
     holder: str
@@ -63,8 +66,8 @@
 
 
 @dataclass(slots=True)
-class _Watched:
-    """What a contender has seen, and since when; a change of any part begins the wait anew."""
+class _Observation:
+    """The state that a contender observes, and since when; any change restarts the wait."""
 
     version: int
     highest_term: int
@@ -73,16 +76,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceReport:
-    """The protected objects as a contender left them, with its term."""
+    """The protected objects after a contender rewrote them with its term."""
 
     stored_by_name: dict[str, StoredObject]
 
 
 class Lease:
-    """One process's part in a lease.
+    """A lease as seen by one process.
 
-    Call :meth:`step` about three times in a duration, one call at a time; it renews or contends
-    once.
+    Call :meth:`renew_or_acquire` about three times in each duration, never concurrently.
 
     Parameters
     ----------
@@ -93,13 +95,13 @@
         Unique to this process.
     duration : float
         Seconds.
-    protects : tuple of str
-        Objects written under this lease only, through :class:`FencedWriter`.
+    protected_names : tuple of str
+        Objects that are written only under this lease, through :class:`FencedWriter`.
     clock : callable
         Monotonic seconds.
     writer : ConditionalWriter
     margin : float or None
-        Seconds added to a foreign holder's duration, for clocks of unlike rate.
+        Seconds added to the duration of another holder, because clock rates differ.
     """
 
     def __init__(
@@ -108,7 +110,7 @@
         name: str,
         holder: str,
         duration: float,
-        protects: tuple[str, ...],
+        protected_names: tuple[str, ...],
         clock: Callable[[], float],
         writer: ConditionalWriter,
         margin: float | None = None,
@@ -116,9 +118,9 @@
         self.name = f"leases/{name}"
         self.holder = holder
         self.duration = duration
-        self.protects = protects
+        self.protected_names = protected_names
         self.term = 0
-        self.fenced: FenceReport | None = None
+        self.fence_report: FenceReport | None = None
         self._store = store
         self._clock = clock
         self._writer = writer
@@ -126,34 +128,35 @@
         self._held_until = -math.inf
         self._base: StoredObject | None = None
         self._unsettled: Unsettled | None = None
-        self._watched: _Watched | None = None
+        self._observed: _Observation | None = None
 
-    def held(self, now: float) -> bool:
+    def is_held(self, now: float) -> bool:
         """Whether this process may act under the lease at ``now``."""
         return now < self._held_until
 
     @property
-    def not_known_lost(self) -> bool:
-        """Whether this process took the lease and has not learnt that it lost it.
+    def may_be_held(self) -> bool:
+        """Whether this process took the lease and does not know that it has lost it.
 
-        It may be lost all the same: only for work that does no harm when two do it at once.
+        The lease may be lost nevertheless, so use this only for work that two processes may do at
+        the same time without harm.
         """
         return self._base is not None
 
-    async def step(self) -> bool:
-        """Renew the lease or contend for it, once; return whether it is held afterwards.
+    async def renew_or_acquire(self) -> bool:
+        """Renew the lease or try to acquire it; return whether it is held afterwards.
 
-        A store that is down changes nothing here: the lease runs out by the clock.
+        Store errors are ignored: during an outage the lease expires by the clock.
         """
         with contextlib.suppress(StoreError):
             if self._base is not None:
                 await self._renew(self._base)
             else:
-                await self._contend()
-        return self.held(self._clock())
+                await self._try_acquire()
+        return self.is_held(self._clock())
 
     async def release(self) -> None:
-        """Give the lease up at a planned stop, so that the next holder need not wait."""
+        """Release the lease at a planned stop, so that the next holder need not wait."""
         base = self._base
         self.give_up()
         if base is None:
@@ -163,89 +166,89 @@
             await self._writer.write(self.name, record.encode(), base, self.term)
 
     def give_up(self) -> None:
-        """Stop acting under the lease; contend for it again from the next step on."""
+        """Stop acting under the lease; the next ``renew_or_acquire`` contends for it again."""
         self._held_until = -math.inf
         self._base = None
         self._unsettled = None
-        self._watched = None
-        self.fenced = None
+        self._observed = None
+        self.fence_report = None
 
     async def _renew(self, base: StoredObject) -> None:
-        # The lease counts from before the renewal was sent: a contender saw the new version
-        # later than that, so it waits until after this holder has stopped acting.
+        # The duration counts from before the renewal was sent: a contender sees the new version
+        # later than that, so its wait ends after this holder has stopped acting.
         sent_at = self._clock()
         record = LeaseRecord(self.holder, self.duration)
         outcome = await self._writer.write(self.name, record.encode(), base, self.term)
-        # A fenced write may have given the lease up meanwhile; the renewal must not revive it.
+        # A fenced-off write may have given up the lease meanwhile; the renewal must not revive it.
         if self._base is base:
-            self._settle(outcome, sent_at)
+            self._apply_outcome(outcome, sent_at)
 
-    def _settle(self, outcome: WriteOutcome, sent_at: float) -> None:
+    def _apply_outcome(self, outcome: WriteOutcome, sent_at: float) -> None:
         if isinstance(outcome, Written) and outcome.version != ABSENT:
             self._base = outcome.stored
             self._unsettled = None
             self._held_until = max(self._held_until, sent_at + self.duration)
         elif isinstance(outcome, Unsettled):
             self._unsettled = outcome
-        elif isinstance(outcome, Conflict) and self._is_ours(outcome.current):
-            # Our own renewal, whose answer was lost, took effect after all: still the holder,
-            # but how long the lease counts is not known, so it is not extended.
+        elif isinstance(outcome, Conflict) and self._is_own_write(outcome.current):
+            # An earlier renewal of this process whose answer was lost did take effect. The process
+            # is still the holder, but when that happened is unknown, so the lease is not extended.
             self._base = outcome.current
             self._unsettled = None
         else:
             self.give_up()
 
-    def _is_ours(self, current: StoredObject | None) -> bool:
+    def _is_own_write(self, current: StoredObject | None) -> bool:
         envelope = _envelope(current)
         return bool(envelope and self._unsettled and envelope.token == self._unsettled.token)
 
-    async def _contend(self) -> None:
+    async def _try_acquire(self) -> None:
         found = await self._store.get(self.name)
         envelope = _envelope(found)
         record = LeaseRecord.decode(envelope.body) if envelope else None
-        if not await self._is_lapsed(found, record):
+        if not await self._has_lapsed(found, record):
             return
-        assert self._watched is not None
-        term = self._watched.highest_term + 1
-        fenced = await self._fence(term)
-        if fenced is None:
-            self._watched = None
+        assert self._observed is not None
+        term = self._observed.highest_term + 1
+        fence_report = await self._fence(term)
+        if fence_report is None:
+            self._observed = None
             return
         sent_at = self._clock()
-        mine = LeaseRecord(self.holder, self.duration).encode()
-        outcome = await self._writer.write(self.name, mine, found, term)
-        self._watched = None
+        own_record = LeaseRecord(self.holder, self.duration).encode()
+        outcome = await self._writer.write(self.name, own_record, found, term)
+        self._observed = None
         if isinstance(outcome, Written) and outcome.version != ABSENT:
             self.term = term
-            self.fenced = fenced
-            self._settle(outcome, sent_at)
+            self.fence_report = fence_report
+            self._apply_outcome(outcome, sent_at)
 
-    async def _is_lapsed(self, found: StoredObject | None, record: LeaseRecord | None) -> bool:
-        """Whether nothing has moved for as long as the holder may have acted."""
+    async def _has_lapsed(self, found: StoredObject | None, record: LeaseRecord | None) -> bool:
+        """Whether nothing has changed for as long as the holder may have been acting."""
         version = found.version if found else ABSENT
         envelope = _envelope(found)
-        # Another contender fences before it takes the lease. Its higher term on an object must
-        # begin the wait anew, else contenders would fence one another off for ever.
-        terms = [await self._term_of(name) for name in self.protects]
+        # Other contenders also fence before they take the lease. A higher term on an object must
+        # restart the wait, otherwise contenders would fence each other off forever.
+        terms = [await self._read_term(name) for name in self.protected_names]
         highest = max([envelope.term if envelope else 0, *terms])
         now = self._clock()
-        watched = self._watched
-        if watched is None or (watched.version, watched.highest_term) != (version, highest):
-            self._watched = watched = _Watched(version, highest, now)
-        # Our own lease that we have given up needs no wait either: nobody acts under it.
+        observed = self._observed
+        if observed is None or (observed.version, observed.highest_term) != (version, highest):
+            self._observed = observed = _Observation(version, highest, now)
+        # A lease of this process that it gave up needs no wait either: nobody acts under it.
         if record is not None and (record.released or record.holder == self.holder):
             return True
         duration = record.duration if record else self.duration
-        return now - watched.since >= duration + self._margin
+        return now - observed.since >= duration + self._margin
 
-    async def _term_of(self, name: str) -> int:
+    async def _read_term(self, name: str) -> int:
         envelope = _envelope(await self._store.get(name))
         return envelope.term if envelope else 0
 
     async def _fence(self, term: int) -> FenceReport | None:
-        """Rewrite every protected object with ``term``; None if another is ahead."""
+        """Rewrite all protected objects with ``term``; None if another contender is ahead."""
         stored_by_name = {}
-        for name in self.protects:
+        for name in self.protected_names:
             stored = await self._fence_object(name, term)
             if stored is None:
                 return None
@@ -254,7 +257,7 @@
 
     async def _fence_object(self, name: str, term: int) -> StoredObject | None:
         base = await self._store.get(name)
-        for _ in range(FENCE_TRIES):
+        for _ in range(MAX_FENCE_ATTEMPTS):
             envelope = _envelope(base)
             if envelope is not None and envelope.term >= term:
                 return None
@@ -270,12 +273,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NotHeld:
-    """The lease has run out on our own clock; nothing was sent."""
+    """The lease has expired by this process's clock; nothing was sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class FencedOff:
-    """Another holder's term, or another write, is on the object; nothing of ours was written."""
+    """The object has another holder's term or was written by another; nothing was written."""
 
     term: int
 
@@ -283,27 +286,27 @@
 class FencedWriter:
     """Writes one protected object under a lease.
 
-    The first write is based on the object as the lease's own fence left it, each later one on the
-    write before. It never reads the object in order to write on top of it: a paused holder that
-    did so would base its write on its successor's version, and the condition would hold.
+    The first write is based on the object as fenced by this lease, and each later write on the
+    previous one. The writer never reads the object to get a base: a paused holder that did so would
+    base its write on the version of its successor, and the condition would be met.
     """
 
     def __init__(self, lease: Lease, name: str, writer: ConditionalWriter) -> None:
-        if name not in lease.protects:
+        if name not in lease.protected_names:
             raise ValueError(f"{lease.name} does not protect {name}")
         self.name = name
         self._lease = lease
         self._writer = writer
-        self._fence: FenceReport | None = None
+        self._fence_report: FenceReport | None = None
         self._base: StoredObject | None = None
 
     @property
     def base(self) -> StoredObject | None:
-        """The object that the next write is based on; None without the lease."""
-        fence = self._lease.fenced
-        if fence is not self._fence:
-            self._fence = fence
-            self._base = fence.stored_by_name[self.name] if fence else None
+        """The object that the next write is based on, or None if the lease is not held."""
+        report = self._lease.fence_report
+        if report is not self._fence_report:
+            self._fence_report = report
+            self._base = report.stored_by_name[self.name] if report else None
         return self._base
 
     async def write(self, body: str, now: float) -> Written | Unsettled | NotHeld | FencedOff:
@@ -312,22 +315,24 @@
         Raises
         ------
         StoreUnavailableError
-            The write surely has no effect.
+            The write certainly has no effect.
         """
         base = self.base
-        if base is None or not self._lease.held(now):
+        if base is None or not self._lease.is_held(now):
             return NotHeld()
         term = self._lease.term
         envelope = _envelope(base)
-        seen = envelope.term if envelope else 0
-        if not invariants.check("lease.term_never_falls", seen <= term, (self.name, seen, term)):
-            return FencedOff(seen)
+        stored_term = envelope.term if envelope else 0
+        if not invariants.check(
+            "lease.term_never_falls", stored_term <= term, (self.name, stored_term, term)
+        ):
+            return FencedOff(stored_term)
         outcome = await self._writer.write(self.name, body, base, term)
         if isinstance(outcome, Written) and outcome.version != ABSENT:
             self._base = outcome.stored
             return outcome
-        # After any other outcome the base is void, and so is this tenure: what is on the object
-        # now was put there by a later holder, or cannot be known.
+        # After any other outcome neither the base nor the lease is valid: the current object was
+        # written by a later holder, or is unknown.
         self._lease.give_up()
         if isinstance(outcome, Conflict):
             current = _envelope(outcome.current)
--- a/briarspur/coord/memorystore.py
+++ b/briarspur/coord/memorystore.py
@@ -1,8 +1,8 @@
-"""An object store in memory whose faults a test chooses.
+"""An in-memory object store with fault injection, for tests.
 
-It serves tests of programs that embed the coordination parts, too. Every call takes effect at one
-moment and answers at another; faults act on either. With ``held`` set, a call waits until the
-test's driver lets it go, so that the driver chooses the order in which calls interleave.
+Tests of programs that embed the coordination modules can use it too. Each call takes effect at one
+moment and returns at another; faults can affect either. If ``hold_calls`` is set, a call waits
+until the test driver releases it, so that the driver determines how calls interleave.
 """
 
 import asyncio
@@ -21,11 +21,11 @@
 
 __all__ = ["HeldCall", "MemoryStore", "StoreFault"]
 
-HISTORY = 16
+MAX_HISTORY = 16
 
 
 class StoreFault(Enum):
-    """What happens to one call."""
+    """A fault that is injected into one call."""
 
     UNAVAILABLE = "refused; no effect"
     THROTTLED = "refused for its rate; no effect"
@@ -35,78 +35,78 @@
 
 @dataclass(slots=True, eq=False)
 class HeldCall:
-    """A call that waits for the test's driver.
+    """A call that waits for the test driver.
 
     Attributes
     ----------
     kind : str
         ``get``, ``list``, ``put``, ``delete`` or ``watch``.
     task : asyncio.Task or None
-        Who called.
+        The task that made the call.
     """
 
     kind: str
     name: str
-    go: asyncio.Future[StoreFault | None]
+    released: asyncio.Future[StoreFault | None]
     task: asyncio.Task[Any] | None
 
     def release(self, fault: StoreFault | None = None) -> None:
-        """Let the call take effect, with ``fault`` if one is given."""
-        if not self.go.done():
-            self.go.set_result(fault)
+        """Let the call proceed, with ``fault`` if given."""
+        if not self.released.done():
+            self.released.set_result(fault)
 
 
 class MemoryStore:
-    """An :class:`~briarspur.coord.store.ObjectStore` of one process.
+    """An :class:`~briarspur.coord.store.ObjectStore` in the memory of one process.
 
     Attributes
     ----------
     down : bool
-        Every call is refused, and waiting watches break off.
+        Every call is refused, and waiting watches are aborted.
     stale_by : int
-        Reads and watches see the state this many writes ago, at most as many as are kept.
-    deaf : bool
-        Watches never see a change: they end at their time with nothing.
-    held : bool
-        Calls wait in ``held_calls`` until released.
+        Reads and watches see the state this many writes ago, limited by the history kept.
+    watches_miss_changes : bool
+        Watches never see a change and time out.
+    hold_calls : bool
+        Calls wait in ``held_calls`` until they are released.
     calls_by_kind : Counter of str
-        Calls seen, refused ones included.
+        Number of calls, including refused ones.
     """
 
     def __init__(self) -> None:
         self.down = False
         self.stale_by = 0
-        self.deaf = False
-        self.held = False
+        self.watches_miss_changes = False
+        self.hold_calls = False
         self.held_calls: list[HeldCall] = []
         self.calls_by_kind: Counter[str] = Counter()
         self._objects_by_name: dict[str, StoredObject] = {}
         self._last_version_by_name: dict[str, int] = {}
-        self._history: deque[dict[str, StoredObject]] = deque(maxlen=HISTORY)
+        self._history: deque[dict[str, StoredObject]] = deque(maxlen=MAX_HISTORY)
         self._faults: deque[StoreFault] = deque()
         self._watchers_by_name: dict[str, list[asyncio.Future[None]]] = {}
 
     def fail_next(self, *faults: StoreFault) -> None:
-        """Let the next calls meet these faults, one each, in this order."""
+        """Inject these faults into the next calls, one per call, in this order."""
         self._faults.extend(faults)
 
     def stop(self) -> None:
         """Begin an outage."""
         self.down = True
-        self._wake(*list(self._watchers_by_name))
+        self._wake_watchers(*list(self._watchers_by_name))
 
     def start(self) -> None:
         """End an outage."""
         self.down = False
 
     def peek(self, name: str) -> StoredObject | None:
-        """Return the newest state of an object, past every fault."""
+        """Return the newest state of an object, unaffected by faults."""
         return self._objects_by_name.get(name)
 
     async def get(self, name: str) -> StoredObject | None:
-        """Return the object, or None if there is none."""
-        await self._begin("get", name)
-        return self._seen().get(name)
+        """Return the object, or None if it does not exist."""
+        await self._begin_call("get", name)
+        return self._visible_objects().get(name)
 
     async def get_newer(self, name: str, known: int) -> StoredObject | None:
         """Return the object if it is not at version ``known``."""
@@ -114,74 +114,74 @@
         return found if found is not None and found.version != known else None
 
     async def list(self, prefix: str) -> list[StoredObject]:
-        """Return the objects whose names begin with ``prefix``, ordered by name."""
-        await self._begin("list", prefix)
-        seen = self._seen()
-        return [seen[name] for name in sorted(seen) if name.startswith(prefix)]
+        """Return the objects whose names start with ``prefix``, sorted by name."""
+        await self._begin_call("list", prefix)
+        visible = self._visible_objects()
+        return [visible[name] for name in sorted(visible) if name.startswith(prefix)]
 
     async def put(self, name: str, value: bytes, expected_version: int) -> int:
         """Write if the object is at ``expected_version``; return its new version."""
-        fault = await self._begin("put", name)
+        fault = await self._begin_call("put", name)
         if fault is StoreFault.LOST_REQUEST:
             raise StoreUnclearError(name)
-        self._expect(name, expected_version, fault)
+        self._check_version(name, expected_version, fault)
         version = self._last_version_by_name.get(name, ABSENT) + 1
-        self._change(name, StoredObject(name, version, value))
+        self._apply_change(name, StoredObject(name, version, value))
         if fault is StoreFault.LOST_ANSWER:
             raise StoreUnclearError(name)
         return version
 
     async def delete(self, name: str, expected_version: int) -> None:
         """Delete if the object is at ``expected_version``."""
-        fault = await self._begin("delete", name)
+        fault = await self._begin_call("delete", name)
         if fault is StoreFault.LOST_REQUEST:
             raise StoreUnclearError(name)
-        self._expect(name, expected_version, fault)
-        self._change(name, None)
+        self._check_version(name, expected_version, fault)
+        self._apply_change(name, None)
         if fault is StoreFault.LOST_ANSWER:
             raise StoreUnclearError(name)
 
     async def watch(self, name: str, newer_than: int, wait: float) -> StoredObject | None:
-        """Wait at most ``wait`` seconds for a version above ``newer_than``; None if none came."""
-        await self._begin("watch", name)
+        """Wait up to ``wait`` seconds for a version above ``newer_than``; None if there is none."""
+        await self._begin_call("watch", name)
         loop = asyncio.get_running_loop()
         end = loop.time() + wait
         while True:
             if self.down:
                 raise StoreUnavailableError("the store is down")
-            found = None if self.deaf else self._seen().get(name)
+            found = None if self.watches_miss_changes else self._visible_objects().get(name)
             if found is not None and found.version > newer_than:
                 return found
-            if not await self._changed(name, end - loop.time()):
+            if not await self._wait_for_change(name, end - loop.time()):
                 return None
 
-    async def _begin(self, kind: str, name: str) -> StoreFault | None:
-        """Count the call, wait for the driver, and meet the faults that refuse it."""
+    async def _begin_call(self, kind: str, name: str) -> StoreFault | None:
+        """Count the call, wait for the driver, and apply faults that refuse the call."""
         self.calls_by_kind[kind] += 1
         fault = self._faults.popleft() if self._faults else None
-        if self.held:
-            fault = await self._hold(kind, name) or fault
+        if self.hold_calls:
+            fault = await self._hold_call(kind, name) or fault
         if self.down or fault is StoreFault.UNAVAILABLE:
             raise StoreUnavailableError("the store is down")
         if fault is StoreFault.THROTTLED:
             raise StoreThrottledError(retry_after=1.0)
         return fault
 
-    async def _hold(self, kind: str, name: str) -> StoreFault | None:
-        go = asyncio.get_running_loop().create_future()
-        call = HeldCall(kind, name, go, asyncio.current_task())
+    async def _hold_call(self, kind: str, name: str) -> StoreFault | None:
+        released = asyncio.get_running_loop().create_future()
+        call = HeldCall(kind, name, released, asyncio.current_task())
         self.held_calls.append(call)
         try:
-            return await call.go
+            return await call.released
         finally:
             self.held_calls.remove(call)
 
-    def _seen(self) -> dict[str, StoredObject]:
+    def _visible_objects(self) -> dict[str, StoredObject]:
         if self.stale_by and self._history:
             return self._history[-min(self.stale_by, len(self._history))]
         return self._objects_by_name
 
-    def _expect(self, name: str, expected_version: int, fault: StoreFault | None) -> None:
+    def _check_version(self, name: str, expected_version: int, fault: StoreFault | None) -> None:
         found = self._objects_by_name.get(name)
         current = found.version if found else ABSENT
         if current == expected_version:
@@ -190,23 +190,23 @@
             raise StoreUnclearError(name)
         raise StoreConflictError(name, current)
 
-    def _change(self, name: str, changed: StoredObject | None) -> None:
+    def _apply_change(self, name: str, changed: StoredObject | None) -> None:
         self._history.append(dict(self._objects_by_name))
         if changed is None:
             del self._objects_by_name[name]
         else:
-            # Versions go on rising after a deletion, so that no version is ever used twice.
+            # Versions keep increasing after a deletion, so that no version is ever used twice.
             self._last_version_by_name[name] = changed.version
             self._objects_by_name[name] = changed
-        self._wake(name)
+        self._wake_watchers(name)
 
-    def _wake(self, *names: str) -> None:
+    def _wake_watchers(self, *names: str) -> None:
         for name in names:
             for future in self._watchers_by_name.pop(name, []):
                 if not future.done():
                     future.set_result(None)
 
-    async def _changed(self, name: str, wait: float) -> bool:
+    async def _wait_for_change(self, name: str, wait: float) -> bool:
         if wait <= 0.0:
             return False
         future = asyncio.get_running_loop().create_future()
--- a/briarspur/coord/store.py
+++ b/briarspur/coord/store.py
@@ -1,4 +1,4 @@
-"""The object store as the coordination parts see it."""
+"""The interface of the object store that the coordination modules use."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """One object with its version, which is 1 or more and rises with each write."""
+    """An object with its version, which is at least 1 and increases with each write."""
 
     name: str
     version: int
@@ -21,25 +21,27 @@
 class ObjectStore(Protocol):
     """Versioned objects with conditional writes and watches.
 
-    Reads may be old; writes are checked against the newest version. Every call may raise
-    ``StoreUnavailableError`` (surely no effect) or, for writes, ``StoreUnclearError`` (the answer
-    was lost, so the write may have taken effect).
+    Reads may be stale; writes are checked against the newest version. Every call may raise
+    ``StoreUnavailableError`` (the call certainly had no effect) or, for writes,
+    ``StoreUnclearError`` (the answer was lost, so the write may have taken effect).
     """
 
     async def get(self, name: str) -> StoredObject | None:
-        """Return the object, or None if there is none."""
+        """Return the object, or None if it does not exist."""
 
     async def get_newer(self, name: str, known: int) -> StoredObject | None:
-        """Return the object if it is not at version ``known``; None if it is, or if there is none.
+        """Return the object, or None if it is at version ``known`` or does not exist.
 
-        A read like :meth:`get`, without the value where nothing changed.
+        Like :meth:`get`, but without reading the value again if the version is ``known``.
         """
 
     async def list(self, prefix: str) -> list[StoredObject]:
-        """Return the objects whose names begin with ``prefix``, ordered by name."""
+        """Return the objects whose names start with ``prefix``, sorted by name."""
 
     async def put(self, name: str, value: bytes, expected_version: int) -> int:
-        """Write if the object is at ``expected_version`` (``ABSENT``: create); return its version.
+        """Write if the object is at ``expected_version``; return the new version.
+
+        ``ABSENT`` creates the object.
 
         Raises
         ------
@@ -57,4 +59,4 @@
         """
 
     async def watch(self, name: str, newer_than: int, wait: float) -> StoredObject | None:
-        """Wait at most ``wait`` seconds for a version above ``newer_than``; None if none came."""
+        """Wait up to ``wait`` seconds for a version above ``newer_than``; None if there is none."""
--- a/briarspur/coord/writer.py
+++ b/briarspur/coord/writer.py
@@ -1,9 +1,9 @@
-"""A conditional writer that settles lost answers.
+"""A conditional writer that determines the outcome of writes whose answer was lost.
 
-The answer to a write can be lost after the write took effect. Each write therefore carries a
-unique token. When the answer is lost, the same write is sent again on the same condition: either
-it takes effect now, and then the first one never did nor ever will, or the object has moved on,
-and its chain of tokens says which write came after the one ours was based on.
+The answer to a write can be lost after the write took effect. Each write therefore carries a unique
+token. When the answer is lost, the same write is sent again with the same condition. Either it
+takes effect now, and then the first one did not and never will; or the object has another version,
+and its chain of tokens shows which write followed the version that this write was based on.
 """
 
 import asyncio
@@ -21,8 +21,8 @@
 
 __all__ = ["ConditionalWriter", "Conflict", "Unsettled", "WriteOutcome", "Written"]
 
-DEFAULT_TRIES = 5
-DEFAULT_PAUSE = 0.1
+DEFAULT_MAX_ATTEMPTS = 5
+DEFAULT_RETRY_DELAY_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,28 +32,28 @@
     Attributes
     ----------
     stored : StoredObject
-        The object as this write left it; its version is ``ABSENT`` if others have written since,
-        so that it is no base for another write.
+        The object after this write. Its version is ``ABSENT`` if others have written since; then
+        it cannot be the base of another write.
     """
 
     stored: StoredObject
 
     @property
     def version(self) -> int:
-        """The version this write made, ``ABSENT`` if it cannot be told."""
+        """The version that this write created, or ``ABSENT`` if it is not known."""
         return self.stored.version
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The write surely has no effect: another came first.
+    """The write certainly has no effect, because another write came first.
 
     Attributes
     ----------
     version : int
-        Version the store holds; at least this.
+        Lower bound of the current version in the store.
     current : StoredObject or None
-        The object that came first, None if it was deleted or could not be read.
+        The object of the other write, or None if it was deleted or could not be read.
     """
 
     version: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unsettled:
-    """The write may have taken effect, or may yet; ``token`` would be found in the object."""
+    """The write may have taken effect or may still do so; then the object contains ``token``."""
 
     token: str
 
@@ -71,94 +71,96 @@
 
 
 class ConditionalWriter:
-    """Writes objects in envelopes, on the condition of the version they are based on.
+    """Writes objects in envelopes, conditional on the version that they are based on.
 
     Parameters
     ----------
     store : ObjectStore
     new_token : callable
-        Returns a text that no other write ever carries.
-    tries : int
-        Calls made to settle a lost answer.
-    pause : float
-        Seconds between them.
+        Returns a string that is unique among all writes.
+    max_attempts : int
+        Maximum number of calls to settle a write whose answer was lost.
+    retry_delay : float
+        Seconds between these calls.
     """
 
     def __init__(
         self,
         store: ObjectStore,
         new_token: Callable[[], str],
-        tries: int = DEFAULT_TRIES,
-        pause: float = DEFAULT_PAUSE,
+        max_attempts: int = DEFAULT_MAX_ATTEMPTS,
+        retry_delay: float = DEFAULT_RETRY_DELAY_S,
     ) -> None:
         self._store = store
         self._new_token = new_token
-        self._tries = tries
-        self._pause = pause
+        self._max_attempts = max_attempts
+        self._retry_delay = retry_delay
 
     async def write(
         self, name: str, body: str, base: StoredObject | None, term: int = 0
     ) -> WriteOutcome:
-        """Write ``body`` if the object is still at ``base``; None creates it.
+        """Write ``body`` if the object is still at ``base``; create the object if ``base`` is None.
 
         Raises
         ------
         StoreUnavailableError
-            The write surely has no effect.
+            The write certainly has no effect.
         """
-        written = _on_top_of(base, self._new_token(), term, body)
-        value = written.encode()
+        envelope = _make_envelope(base, self._new_token(), term, body)
+        value = envelope.encode()
         version = base.version if base else ABSENT
         try:
             return Written(StoredObject(name, await self._store.put(name, value, version), value))
         except StoreConflictError as error:
-            return Conflict(error.current_version, await self._read(name, error.current_version))
+            return Conflict(
+                error.current_version, await self._read_current(name, error.current_version)
+            )
         except StoreUnclearError:
-            return await self._settle(name, value, base, written.token)
+            return await self._settle(name, value, base, envelope.token)
 
     async def _settle(
         self, name: str, value: bytes, base: StoredObject | None, token: str
     ) -> WriteOutcome:
         version = base.version if base else ABSENT
-        for _ in range(self._tries):
+        for _ in range(self._max_attempts):
             try:
-                put = await self._store.put(name, value, version)
-                return Written(StoredObject(name, put, value))
+                new_version = await self._store.put(name, value, version)
+                return Written(StoredObject(name, new_version, value))
             except StoreConflictError as error:
-                current = await self._read(name, error.current_version)
-                return _judge(error.current_version, current, base, token)
+                current = await self._read_current(name, error.current_version)
+                return _outcome_from_chain(error.current_version, current, base, token)
             except StoreError:
-                await asyncio.sleep(self._pause)
+                await asyncio.sleep(self._retry_delay)
         return Unsettled(token)
 
-    async def _read(self, name: str, at_least: int) -> StoredObject | None:
-        """Read the object no older than version ``at_least``; None if that cannot be had."""
-        for _ in range(self._tries):
+    async def _read_current(self, name: str, min_version: int) -> StoredObject | None:
+        """Read the object at ``min_version`` or newer; return None if that is not possible."""
+        for _ in range(self._max_attempts):
             try:
                 found = await self._store.get(name)
             except StoreUnavailableError:
                 found = None
-            # A read may be older than the write that beat ours: judged by it, a write that took
-            # effect would look as if it had not.
-            if found is not None and found.version >= at_least:
+            # A read may be older than the write that came first. From such a read, a write that
+            # took effect would seem not to have done so.
+            if found is not None and found.version >= min_version:
                 return found
-            if at_least == ABSENT:
+            if min_version == ABSENT:
                 return None
-            await asyncio.sleep(self._pause)
+            await asyncio.sleep(self._retry_delay)
         return None
 
 
-def _on_top_of(base: StoredObject | None, token: str, term: int, body: str) -> Envelope:
-    opened = open_envelope(base.value).default_value(None) if base else None
-    if opened is None:
+def _make_envelope(base: StoredObject | None, token: str, term: int, body: str) -> Envelope:
+    previous = open_envelope(base.value).default_value(None) if base else None
+    if previous is None:
         return Envelope(token, term, body)
-    return opened.follow(token, term, body)
+    return previous.successor(token, term, body)
 
 
-def _judge(
+def _outcome_from_chain(
     version: int, current: StoredObject | None, base: StoredObject | None, token: str
 ) -> WriteOutcome:
-    """Say from the object's chain of tokens what became of a write whose answer was lost."""
+    """Determine the outcome of a write whose answer was lost from the chain of tokens."""
     envelope = open_envelope(current.value).default_value(None) if current else None
     if current is None or envelope is None:
         return Unsettled(token)
@@ -166,14 +168,14 @@
         return Written(current)
     if token in envelope.chain:
         return Written(StoredObject(current.name, ABSENT, current.value))
-    if _successor_is_known(envelope, base):
+    if _shows_successor(envelope, base):
         return Conflict(version, current)
     return Unsettled(token)
 
 
-def _successor_is_known(envelope: Envelope, base: StoredObject | None) -> bool:
-    """Whether the chain shows which write came right after ``base``."""
+def _shows_successor(envelope: Envelope, base: StoredObject | None) -> bool:
+    """Whether the chain shows which write directly followed ``base``."""
     if base is None:
-        return envelope.begins_with_creation
-    opened = open_envelope(base.value).default_value(None)
-    return opened is not None and opened.token in envelope.chain
+        return envelope.reaches_creation
+    previous = open_envelope(base.value).default_value(None)
+    return previous is not None and previous.token in envelope.chain
--- a/briarspur/keystore.py
+++ b/briarspur/keystore.py
@@ -4,7 +4,7 @@
 import time
 from collections.abc import Callable
 
-from briarspur.coord.claims import ClaimAcquired, Claims, ClaimTaken, ClaimUnresolved
+from briarspur.coord.claims import ClaimAcquired, Claims, ClaimTaken, ClaimUnsettled
 from briarspur.coord.keys import Key, parse_key
 from briarspur.coord.outcomes import (
     FinishedOutcome,
@@ -62,7 +62,7 @@
             outcome = await self._claims.claim(parsed.ok, body_digest)
         finally:
             self._claiming_since_by_key.pop(key, None)
-        if isinstance(outcome, ClaimUnresolved):
+        if isinstance(outcome, ClaimUnsettled):
             self._unsettled_until = self._clock() + PAUSE_S
         if isinstance(outcome, ClaimAcquired):
             return SettledClaim(ClaimResult.OURS)
--- a/briarspur/steer.py
+++ b/briarspur/steer.py
@@ -120,7 +120,7 @@
         return SteerStatus(
             holder_id=self._settings.holder_id,
             ready=bool(self._tasks) and not any(task.done() for task in self._tasks),
-            holds_lease=self._lease.held(time.monotonic()),
+            holds_lease=self._lease.is_held(time.monotonic()),
             term=self._lease.term,
             plan_term=plan.term if plan else 0,
             plan_number=plan.number if plan else 0,
@@ -131,13 +131,13 @@
         )
 
     async def _step(self) -> None:
-        held_before = self._lease.held(time.monotonic())
-        held = await self._lease.step()
+        held_before = self._lease.is_held(time.monotonic())
+        held = await self._lease.renew_or_acquire()
         if held_before and not held:
             logs.event("lease-lost", logging.WARNING, term=self._lease.term)
 
     async def _sweep(self) -> None:
-        if self._lease.held(time.monotonic()):
+        if self._lease.is_held(time.monotonic()):
             deleted = await self._sweeper.step()
             self._metrics.count("swept", amount=deleted)
 
--- a/briarspur/steerround.py
+++ b/briarspur/steerround.py
@@ -27,7 +27,7 @@
 
     term: int
 
-    def held(self, now: float) -> bool:
+    def is_held(self, now: float) -> bool:
         """Whether this process may act at ``now``."""
 
 
@@ -107,7 +107,7 @@
 
     async def run(self) -> bool:
         """Do one round; return whether a plan was written."""
-        if not self._lease.held(self._clock()):
+        if not self._lease.is_held(self._clock()):
             self._term = 0
             return False
         if self._term != self._lease.term:
--- a/tests/compat/__init__.py
+++ b/tests/compat/__init__.py
@@ -1,1 +1,1 @@
-"""Tests against the documented protocols of outside systems."""
+"""Tests against the documented protocols of external systems."""
--- a/tests/compat/store_contract.py
+++ b/tests/compat/store_contract.py
@@ -1,4 +1,4 @@
-"""What every ``ObjectStore`` must do, whoever keeps the objects."""
+"""Tests that every implementation of ``ObjectStore`` must pass."""
 
 import asyncio
 import unittest
@@ -11,10 +11,10 @@
 
 
 class StoreContract(unittest.TestCase):
-    """Base of a ``TestCase`` that gives a fresh, empty store to each ``work``."""
+    """Base of a ``TestCase`` that calls each ``work`` with a new, empty store."""
 
     def with_store(self, work: Callable[[ObjectStore], Awaitable[None]]) -> None:
-        """Run ``work`` with a fresh store."""
+        """Run ``work`` with a new, empty store."""
         raise NotImplementedError
 
     def test_a_write_is_read_back_with_its_version(self) -> None:
@@ -27,7 +27,7 @@
 
         self.with_store(work)
 
-    def test_a_read_that_knows_the_version_gets_no_value(self) -> None:
+    def test_get_newer_returns_nothing_for_the_known_version(self) -> None:
         async def work(store: ObjectStore) -> None:
             self.assertIsNone(await store.get_newer("a", 7))
             first = await store.put("a", b"1", ABSENT)
@@ -39,7 +39,7 @@
 
         self.with_store(work)
 
-    def test_versions_rise_even_over_a_deletion(self) -> None:
+    def test_versions_increase_even_after_a_deletion(self) -> None:
         async def work(store: ObjectStore) -> None:
             first = await store.put("a", b"1", ABSENT)
             second = await store.put("a", b"2", first)
@@ -68,7 +68,7 @@
 
         self.with_store(work)
 
-    def test_a_list_is_ordered_by_name(self) -> None:
+    def test_a_list_is_sorted_by_name(self) -> None:
         async def work(store: ObjectStore) -> None:
             for name in ("p/b", "q/a", "p/a"):
                 await store.put(name, name.encode(), ABSENT)
@@ -77,7 +77,7 @@
 
         self.with_store(work)
 
-    def test_a_watch_ends_with_the_write_or_with_its_time(self) -> None:
+    def test_a_watch_ends_on_a_write_or_on_timeout(self) -> None:
         async def work(store: ObjectStore) -> None:
             version = await store.put("a", b"1", ABSENT)
             now = await store.watch("a", version - 1, 30.0)
--- a/tests/compat/test_memorystore.py
+++ b/tests/compat/test_memorystore.py
@@ -1,4 +1,4 @@
-"""The store in memory keeps the same contract as the client of the platform."""
+"""The in-memory store fulfils the same contract as the client of the platform."""
 
 from collections.abc import Awaitable, Callable
 
@@ -9,7 +9,7 @@
 
 
 class MemoryStoreContractTest(store_contract.StoreContract):
-    """The memory store keeps the contract of ``ObjectStore``."""
+    """The in-memory store fulfils the contract of ``ObjectStore``."""
 
     def with_store(self, work: Callable[[ObjectStore], Awaitable[None]]) -> None:
         async def fresh() -> None:
--- a/tests/coord/test_lease.py
+++ b/tests/coord/test_lease.py
@@ -1,4 +1,4 @@
-"""Tests of the lease: one holder at a time, and a paused one gets no write in."""
+"""Tests of the lease: one holder at a time, and writes of a paused holder fail."""
 
 import asyncio
 import itertools
@@ -21,31 +21,33 @@
 
 
 class Holder:
-    """One process that contends for the lease; ``lag`` seconds were lost while it was suspended."""
+    """One contender for the lease; its clock lost ``clock_lag`` seconds while suspended."""
 
     def __init__(self, name: str, store: MemoryStore, clock: Callable[[], float]) -> None:
         self.name = name
-        self.lag = 0.0
+        self.clock_lag = 0.0
         tokens = itertools.count()
-        self.clock = lambda: clock() - self.lag
-        writer = ConditionalWriter(store, lambda: f"{name}{next(tokens)}", tries=2, pause=0.0)
+        self.clock = lambda: clock() - self.clock_lag
+        writer = ConditionalWriter(
+            store, lambda: f"{name}{next(tokens)}", max_attempts=2, retry_delay=0.0
+        )
         self.lease = Lease(
             store, "steer", name, DURATION, ("plan",), self.clock, writer, margin=MARGIN
         )
         self.plan = FencedWriter(self.lease, "plan", writer)
         self.tasks: list[asyncio.Task[object]] = []
 
-    def held(self) -> bool:
-        return self.lease.held(self.clock())
+    def is_held(self) -> bool:
+        return self.lease.is_held(self.clock())
 
 
-def envelope(store: MemoryStore, name: str) -> Envelope | None:
+def read_envelope(store: MemoryStore, name: str) -> Envelope | None:
     found = store.peek(name)
     return open_envelope(found.value).ok if found else None
 
 
 class LeaseTest(unittest.IsolatedAsyncioTestCase):
-    """Stories of a lease and its holders."""
+    """Scenarios of a lease and two contenders."""
 
     def setUp(self) -> None:
         invariants.strict = True
@@ -54,119 +56,119 @@
         self.a = Holder("a", self.store, lambda: self.now)
         self.b = Holder("b", self.store, lambda: self.now)
 
-    async def take(self, holder: Holder) -> None:
-        await holder.lease.step()
+    async def acquire(self, holder: Holder) -> None:
+        await holder.lease.renew_or_acquire()
         self.now += DURATION + MARGIN
-        self.assertTrue(await holder.lease.step())
+        self.assertTrue(await holder.lease.renew_or_acquire())
 
-    async def test_holder_renews_and_the_other_stands_by(self) -> None:
-        await self.take(self.a)
+    async def test_holder_renews_and_the_other_waits(self) -> None:
+        await self.acquire(self.a)
         for _ in range(10):
             self.now += 2.0
-            self.assertTrue(await self.a.lease.step())
-            self.assertFalse(await self.b.lease.step())
+            self.assertTrue(await self.a.lease.renew_or_acquire())
+            self.assertFalse(await self.b.lease.renew_or_acquire())
         self.assertEqual(self.a.lease.term, 1)
 
-    async def test_dead_holder_is_followed_under_a_higher_term(self) -> None:
-        await self.take(self.a)
-        await self.take(self.b)
-        self.assertFalse(self.a.held())
+    async def test_dead_holder_is_replaced_under_a_higher_term(self) -> None:
+        await self.acquire(self.a)
+        await self.acquire(self.b)
+        self.assertFalse(self.a.is_held())
         self.assertEqual(self.b.lease.term, 2)
 
-    async def test_paused_holder_gets_no_write_in(self) -> None:
-        """Traffic moves twice: a plan of a paused planner lands on top of its successor's.
+    async def test_write_of_a_paused_holder_is_fenced_off(self) -> None:
+        """A plan of a paused planner must not replace its successor's, or traffic moves twice.
 
-        The holder checks its lease, is suspended with its write on the way, and its clock stands
-        still. The successor takes over. The holder resumes and believes that it holds the lease.
+        The holder checks its lease and is suspended with its write in transit, and its clock
+        stops. The successor takes over. The holder resumes and believes that it holds the lease.
         """
-        await self.take(self.a)
-        self.store.held = True
+        await self.acquire(self.a)
+        self.store.hold_calls = True
         write = asyncio.create_task(self.a.plan.write("late", self.a.clock()))
         await asyncio.sleep(0)
         [late] = self.store.held_calls
-        self.store.held = False
-        await self.take(self.b)
-        self.a.lag = DURATION + MARGIN + 1.0
-        self.assertTrue(self.a.held())
+        self.store.hold_calls = False
+        await self.acquire(self.b)
+        self.a.clock_lag = DURATION + MARGIN + 1.0
+        self.assertTrue(self.a.is_held())
         late.release()
         self.assertEqual(await write, FencedOff(2))
         self.assertIsInstance(await self.a.plan.write("again", self.a.clock()), NotHeld)
         self.assertIsInstance(await self.b.plan.write("next", self.now), Written)
 
-    async def test_write_on_the_way_when_the_lease_changes_hands(self) -> None:
+    async def test_write_in_transit_while_the_lease_changes_hands_is_fenced_off(self) -> None:
         """As above, but the late write arrives just when the lease object changes hands."""
-        await self.take(self.a)
-        self.store.held = True
+        await self.acquire(self.a)
+        self.store.hold_calls = True
         write = asyncio.create_task(self.a.plan.write("late", self.now))
         await asyncio.sleep(0)
         late = self.store.held_calls[0]
         self.now += DURATION + MARGIN
-        self.store.held = False
-        await self.b.lease.step()
+        self.store.hold_calls = False
+        await self.b.lease.renew_or_acquire()
         self.now += DURATION + MARGIN
-        self.store.held = True
-        step = asyncio.create_task(self.b.lease.step())
+        self.store.hold_calls = True
+        step = asyncio.create_task(self.b.lease.renew_or_acquire())
         while not step.done():
             await asyncio.sleep(0)
             for call in [call for call in self.store.held_calls if call is not late]:
                 call.release()
-                lease = envelope(self.store, "leases/steer")
+                lease = read_envelope(self.store, "leases/steer")
                 if lease is not None and lease.term == 2:
                     late.release()
-        self.store.held = False
+        self.store.hold_calls = False
         late.release()
         self.assertIsInstance(await write, FencedOff)
 
-    async def test_released_lease_is_taken_at_once(self) -> None:
-        await self.take(self.a)
+    async def test_released_lease_is_acquired_at_once(self) -> None:
+        await self.acquire(self.a)
         await self.a.lease.release()
-        self.assertTrue(await self.b.lease.step())
+        self.assertTrue(await self.b.lease.renew_or_acquire())
 
-    async def test_outage_lets_the_lease_run_out(self) -> None:
-        await self.take(self.a)
+    async def test_lease_expires_during_an_outage(self) -> None:
+        await self.acquire(self.a)
         self.store.stop()
         self.now += DURATION
-        self.assertFalse(await self.a.lease.step())
+        self.assertFalse(await self.a.lease.renew_or_acquire())
         self.store.start()
-        self.assertTrue(await self.a.lease.step())
+        self.assertTrue(await self.a.lease.renew_or_acquire())
 
     async def test_lease_counts_from_before_the_renewal_was_sent(self) -> None:
-        """Two planners act at once: the renewal took 3 s, and the holder counts from its answer."""
-        await self.take(self.a)
+        """If a holder counted from the answer to a 3 s renewal, two planners would act at once."""
+        await self.acquire(self.a)
         self.now += 2.0
-        self.store.held = True
-        step = asyncio.create_task(self.a.lease.step())
+        self.store.hold_calls = True
+        step = asyncio.create_task(self.a.lease.renew_or_acquire())
         await asyncio.sleep(0)
         self.now += 3.0
         self.store.held_calls[0].release()
         self.assertTrue(await step)
         self.now += DURATION - 3.0
-        self.assertFalse(self.a.held())
+        self.assertFalse(self.a.is_held())
 
-    async def test_late_renewal_does_not_revive_a_lease_given_up(self) -> None:
-        """A holder that was fenced off renews on, writes nothing, and nobody else may plan."""
-        await self.take(self.a)
-        self.store.held = True
-        step = asyncio.create_task(self.a.lease.step())
+    async def test_late_renewal_does_not_revive_an_abandoned_lease(self) -> None:
+        """A fenced-off holder must not keep renewing without writing, so that nobody can plan."""
+        await self.acquire(self.a)
+        self.store.hold_calls = True
+        step = asyncio.create_task(self.a.lease.renew_or_acquire())
         await asyncio.sleep(0)
         self.a.lease.give_up()
         self.store.held_calls[0].release()
         self.assertFalse(await step)
 
-    async def test_lost_answers_cost_no_lease(self) -> None:
-        await self.take(self.a)
+    async def test_lost_answers_do_not_lose_the_lease(self) -> None:
+        await self.acquire(self.a)
         for fault in (StoreFault.LOST_ANSWER, StoreFault.LOST_REQUEST):
             self.store.fail_next(fault)
             self.now += 4.0
-            self.assertTrue(await self.a.lease.step())
+            self.assertTrue(await self.a.lease.renew_or_acquire())
             self.store.fail_next(fault)
             self.assertIsInstance(await self.a.plan.write(fault.name, self.now), Written)
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Three contenders whose store calls take effect in any order, late, lost or doubled.
+    """Three contenders whose store calls take effect in any order, late, lost or duplicated.
 
-    A process is paused by leaving its calls held, and suspended with its clock by ``suspend``.
+    A process is paused by holding its store calls; ``suspend`` stops its clock as well.
     """
 
     def __init__(self) -> None:
@@ -176,7 +178,7 @@
         self.now = 0.0
         self.suspended = False
         self.store = MemoryStore()
-        self.store.held = True
+        self.store.hold_calls = True
         self.holders = [Holder(name, self.store, lambda: self.now) for name in "abc"]
         self.last_plan: Envelope | None = None
         self.writers_by_term: dict[int, set[str]] = {}
@@ -205,14 +207,14 @@
         names = {task.get_name() for task in holder.tasks if not task.done()}
         if "step" not in names:
             holder.tasks = [task for task in holder.tasks if not task.done()]
-            self.start(holder, holder.lease.step)
+            self.start(holder, holder.lease.renew_or_acquire)
             holder.tasks[-1].set_name("step")
 
     @rule(n=st.integers(0, 2))
     def write(self, n: int) -> None:
         holder = self.holders[n]
         names = {task.get_name() for task in holder.tasks if not task.done()}
-        if holder.held() and "write" not in names:
+        if holder.is_held() and "write" not in names:
             self.start(holder, lambda: holder.plan.write(f"by {holder.name}", holder.clock()))
             holder.tasks[-1].set_name("write")
 
@@ -224,20 +226,20 @@
     def suspend(self, n: int, seconds: float) -> None:
         self.suspended = True
         self.now += seconds
-        self.holders[n].lag += seconds
+        self.holders[n].clock_lag += seconds
 
     @precondition(lambda self: self.store.held_calls)
     @rule(data=st.data(), fault=st.sampled_from([None, None, None, *StoreFault]))
     def release(self, data: st.DataObject, fault: StoreFault | None) -> None:
         calls = self.store.held_calls
-        lease = envelope(self.store, "leases/steer")
+        lease = read_envelope(self.store, "leases/steer")
         calls[data.draw(st.integers(0, len(calls) - 1))].release(fault)
         self.settle()
         self.check_plan(lease)
 
     @rule(n=st.integers(0, 2))
     def take_over(self, n: int) -> None:
-        """Let one process contend without interruption, so that the lease often changes hands."""
+        """Let one process contend without interruption, so that the holder changes often."""
         self.run_step(n)
         self.now += DURATION + MARGIN
         self.run_step(n)
@@ -246,27 +248,29 @@
         self.step(n)
         [step] = [task for task in self.holders[n].tasks if task.get_name() == "step"]
         while calls := [call for call in self.store.held_calls if call.task is step]:
-            lease = envelope(self.store, "leases/steer")
+            lease = read_envelope(self.store, "leases/steer")
             calls[0].release()
             self.settle()
             self.check_plan(lease)
             self.one_holder()
 
     def check_plan(self, lease: Envelope | None) -> None:
-        plan = envelope(self.store, "plan")
+        plan = read_envelope(self.store, "plan")
         if plan is None or plan == self.last_plan:
             return
-        assert lease is None or plan.term >= lease.term, "a write came after its successor's lease"
+        assert (
+            lease is None or plan.term >= lease.term
+        ), "a write took effect after its successor took the lease"
         assert self.last_plan is None or plan.term >= self.last_plan.term
         self.last_plan = plan
         writers = self.writers_by_term.setdefault(plan.term, set())
         writers.add(plan.token[0])
-        assert len(writers) == 1, "two processes wrote under one term"
+        assert len(writers) == 1, "two processes wrote under the same term"
 
     @invariant()
     def one_holder(self) -> None:
         if not self.suspended:
-            assert sum(holder.held() for holder in self.holders) <= 1
+            assert sum(holder.is_held() for holder in self.holders) <= 1
 
 
 LeaseMachineTest = LeaseMachine.TestCase
--- a/tests/coord/test_memorystore.py
+++ b/tests/coord/test_memorystore.py
@@ -1,4 +1,4 @@
-"""Tests of the store that tests use."""
+"""Tests of the in-memory object store."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
 
 
 class MemoryStoreTest(unittest.IsolatedAsyncioTestCase):
-    """Conditional writes, watches, and each fault."""
+    """Conditional writes, watches and injected faults."""
 
     def setUp(self) -> None:
         self.store = MemoryStore()
@@ -27,7 +27,7 @@
         await self.store.delete("plan", 1)
         self.assertEqual(await self.store.put("plan", b"3", ABSENT), 2)
 
-    async def test_lost_answer_took_effect_and_lost_request_did_not(self) -> None:
+    async def test_lost_answer_takes_effect_and_lost_request_does_not(self) -> None:
         self.store.fail_next(StoreFault.LOST_REQUEST, StoreFault.LOST_ANSWER)
         with self.assertRaises(StoreUnclearError):
             await self.store.put("plan", b"1", ABSENT)
@@ -46,7 +46,7 @@
         self.store.start()
         self.assertIsNone(await self.store.get("plan"))
 
-    async def test_watch_ends_with_a_change_or_an_outage(self) -> None:
+    async def test_watch_ends_on_a_change_or_an_outage(self) -> None:
         watch = asyncio.create_task(self.store.watch("plan", ABSENT, wait=60.0))
         await asyncio.sleep(0)
         await self.store.put("plan", b"1", ABSENT)
@@ -58,7 +58,7 @@
         with self.assertRaises(StoreUnavailableError):
             await watch
 
-    async def test_stale_reads_see_the_past(self) -> None:
+    async def test_stale_reads_return_an_earlier_state(self) -> None:
         await self.store.put("plan", b"1", ABSENT)
         await self.store.put("plan", b"2", 1)
         self.store.stale_by = 1
@@ -68,8 +68,8 @@
         with self.assertRaises(StoreConflictError):
             await self.store.put("plan", b"3", found.version)
 
-    async def test_held_calls_interleave_as_the_driver_chooses(self) -> None:
-        self.store.held = True
+    async def test_held_calls_take_effect_in_the_order_of_release(self) -> None:
+        self.store.hold_calls = True
         first = asyncio.create_task(self.store.put("plan", b"1", ABSENT))
         second = asyncio.create_task(self.store.put("plan", b"2", ABSENT))
         await asyncio.sleep(0)
--- a/tests/coord/test_once_machine.py
+++ b/tests/coord/test_once_machine.py
@@ -84,7 +84,7 @@
         invariants.strict = True
         self.loop = asyncio.new_event_loop()
         self.store = MemoryStore()
-        self.store.held = True
+        self.store.hold_calls = True
         self.now = 0.0
         self.wall = WALL
         self.numbers = itertools.count(1)
@@ -303,10 +303,10 @@
         self.entries[index] = self.start_entry()
 
     def stop(self, index: int) -> None:
-        self.store.held = False
+        self.store.hold_calls = False
         for page in close_and_export(self.entries[index].memory):
             self.loop.run_until_complete(self.store.put(page.name, page.value, 0))
-        self.store.held = True
+        self.store.hold_calls = True
         self.kill(index)
 
     @invariant()
--- a/tests/coord/test_writer.py
+++ b/tests/coord/test_writer.py
@@ -1,10 +1,10 @@
-"""Tests of the conditional writer and of claims under lost answers."""
+"""Tests of the conditional writer and of claims when answers are lost."""
 
 import itertools
 import unittest
 
-from briarspur.coord.claims import ClaimAcquired, Claims, ClaimTaken, ClaimUnresolved
-from briarspur.coord.envelope import CHAIN_LENGTH, open_envelope
+from briarspur.coord.claims import ClaimAcquired, Claims, ClaimTaken, ClaimUnsettled
+from briarspur.coord.envelope import MAX_EARLIER_TOKENS, open_envelope
 from briarspur.coord.errors import StoreUnavailableError
 from briarspur.coord.keys import Key
 from briarspur.coord.memorystore import MemoryStore, StoreFault
@@ -17,12 +17,14 @@
 
 
 class WriterTest(unittest.IsolatedAsyncioTestCase):
-    """What an operator is told of a write is true."""
+    """The reported outcome of a write is true."""
 
     def setUp(self) -> None:
         self.store = MemoryStore()
         tokens = itertools.count()
-        self.writer = ConditionalWriter(self.store, lambda: f"t{next(tokens)}", tries=3, pause=0.0)
+        self.writer = ConditionalWriter(
+            self.store, lambda: f"t{next(tokens)}", max_attempts=3, retry_delay=0.0
+        )
 
     async def write(self, body: str, base: StoredObject | None) -> WriteOutcome:
         return await self.writer.write("policy", body, base)
@@ -40,8 +42,8 @@
             self.assertEqual(outcome.stored, self.store.peek("policy"))
             self.assertEqual(self.body(), fault.name)
 
-    async def test_racing_operators(self) -> None:
-        """Two operators edit the same policy; the second must see the first one's change."""
+    async def test_late_write_of_two_operators_is_a_conflict(self) -> None:
+        """Two operators edit the same policy; the second one must see the first one's change."""
         first = await self.write("first", None)
         assert isinstance(first, Written)
         await self.write("second", first.stored)
@@ -50,11 +52,11 @@
         self.assertEqual(late.current, self.store.peek("policy"))
         self.assertEqual(self.body(), "second")
 
-    async def test_write_that_took_effect_and_was_overwritten(self) -> None:
-        """An operator is told `conflict` of a change that was in force, and makes it twice.
+    async def test_overwritten_write_is_reported_as_written(self) -> None:
+        """A change that took effect must not be reported as a conflict and be made twice.
 
-        The answer is lost after the write took effect; before the read another operator writes
-        on top of it. The chain of tokens still names the first write.
+        The answer is lost after the write took effect, and another operator replaces it before the
+        read. The chain of tokens still contains the first write.
         """
         await self.write("base", None)
         base = self.store.peek("policy")
@@ -73,13 +75,13 @@
         self.assertIsInstance(outcome, Written)
         self.assertEqual(self.body(), "another")
 
-    async def test_lost_request_beaten_by_another_is_a_conflict(self) -> None:
+    async def test_lost_request_followed_by_another_write_is_a_conflict(self) -> None:
         await self.write("base", None)
         base = self.store.peek("policy")
         self.store.fail_next(LOST_REQUEST, LOST_REQUEST, UNAVAILABLE, UNAVAILABLE)
         unsettled = await self.write("ours", base)
         self.assertIsInstance(unsettled, Unsettled)
-        for n in range(CHAIN_LENGTH + 2):
+        for n in range(MAX_EARLIER_TOKENS + 2):
             await self.write(f"other {n}", self.store.peek("policy"))
         self.store.fail_next(LOST_REQUEST)
         self.assertIsInstance(await self.write("ours", base), Unsettled)
@@ -88,14 +90,14 @@
         self.store.fail_next(LOST_REQUEST)
         self.assertIsInstance(await self.write("ours", base), Conflict)
 
-    async def test_stale_read_does_not_decide(self) -> None:
+    async def test_stale_read_does_not_determine_the_outcome(self) -> None:
         await self.write("base", None)
         base = self.store.peek("policy")
         self.store.fail_next(LOST_ANSWER)
         self.store.stale_by = 1
         self.assertIsInstance(await self.write("ours", base), Unsettled)
 
-    async def test_outage_is_raised(self) -> None:
+    async def test_outage_raises(self) -> None:
         self.store.stop()
         with self.assertRaises(StoreUnavailableError):
             await self.write("ours", None)
@@ -127,30 +129,30 @@
         self.assertEqual(await self.b.claim(self.key, b"x"), ClaimTaken("a", b"x"))
         self.assertEqual(await self.a.claim(self.key, b"x"), ClaimTaken("a", b"x"))
 
-    async def test_claim_with_a_lost_answer_is_resolved(self) -> None:
+    async def test_claim_with_a_lost_answer_is_settled(self) -> None:
         self.store.fail_next(LOST_ANSWER)
         self.assertEqual(await self.a.claim(self.key, b"x"), ClaimAcquired())
 
-    async def test_unresolved_claim_is_recognised_on_a_repeat(self) -> None:
+    async def test_unsettled_claim_is_recognised_on_a_repeat(self) -> None:
         """An order that was not run must not be refused at every entry from then on.
 
         The claim takes effect, its answer is lost and the store goes down; the entry refuses the
         order as not run. The repeat must recognise the entry's own claim and run.
         """
         self.store.fail_next(LOST_ANSWER, UNAVAILABLE)
-        self.assertIsInstance(await self.a.claim(self.key, b"x"), ClaimUnresolved)
+        self.assertIsInstance(await self.a.claim(self.key, b"x"), ClaimUnsettled)
         self.assertEqual(await self.b.claim(self.key, b"x"), ClaimTaken("a", b"x"))
         self.assertEqual(await self.a.claim(self.key, b"x"), ClaimAcquired())
 
-    async def test_claim_during_an_outage_is_unresolved(self) -> None:
+    async def test_claim_during_an_outage_is_unsettled(self) -> None:
         self.store.stop()
-        self.assertIsInstance(await self.a.claim(self.key, b"x"), ClaimUnresolved)
+        self.assertIsInstance(await self.a.claim(self.key, b"x"), ClaimUnsettled)
 
-    async def test_claim_with_a_stale_read_is_unresolved(self) -> None:
+    async def test_claim_with_a_stale_read_is_unsettled(self) -> None:
         await self.a.claim(self.key, b"x")
         self.store.stale_by = 1
-        self.assertIsInstance(await self.b.claim(self.key, b"x"), ClaimUnresolved)
+        self.assertIsInstance(await self.b.claim(self.key, b"x"), ClaimUnsettled)
 
     async def test_queue_is_bounded(self) -> None:
         full = self.make_claims("c", max_queued=-1)
-        self.assertIsInstance(await full.claim(self.key, b"x"), ClaimUnresolved)
+        self.assertIsInstance(await full.claim(self.key, b"x"), ClaimUnsettled)
--- a/tests/test_keystore.py
+++ b/tests/test_keystore.py
@@ -4,7 +4,7 @@
 import unittest
 from typing import cast
 
-from briarspur.coord.claims import ClaimAcquired, ClaimOutcome, Claims, ClaimUnresolved
+from briarspur.coord.claims import ClaimAcquired, ClaimOutcome, Claims, ClaimUnsettled
 from briarspur.coord.keys import Key
 from briarspur.coord.memorystore import MemoryStore
 from briarspur.keystore import PAUSE_S, SLOW_CLAIM_S, ObjectKeyStore
@@ -45,7 +45,7 @@
         The store hangs. Every claim waited for its timeout, which was the order's whole deadline.
         """
         now = [100.0]
-        claims = ScriptedClaims(ClaimUnresolved("timeout"), ClaimAcquired())
+        claims = ScriptedClaims(ClaimUnsettled("timeout"), ClaimAcquired())
         keys = ObjectKeyStore(MemoryStore(), cast(Claims, claims), clock=lambda: now[0])
         results = [(await keys.claim(KEY, b"")).result for _ in range(3)]
         self.assertEqual(results, [ClaimResult.UNSETTLED] * 3)
--- a/tests/test_repository_race.py
+++ b/tests/test_repository_race.py
@@ -62,7 +62,7 @@
     rng = random.Random(seed)
     store, outcomes = MemoryStore(), Outcomes()
     for round_ in range(ROUNDS):
-        store.held = True
+        store.hold_calls = True
         tokens = [f"{round_}-{number}" for number in range(OPERATORS)]
         tasks = [asyncio.create_task(edit(store, token, outcomes)) for token in tokens]
         while not all(task.done() for task in tasks):
@@ -73,7 +73,7 @@
             if rng.random() < 0.01:
                 rng.choice(tasks).cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        store.held, store.stale_by = False, 0
+        store.hold_calls, store.stale_by = False, 0
     # A last, quiet edit mends what a crash left undone.
     await edit(store, "last", outcomes)
     return store, outcomes
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -32,7 +32,7 @@
     term: int = 1
     holds: bool = True
 
-    def held(self, now: float) -> bool:
+    def is_held(self, now: float) -> bool:
         return self.holds
 
 
