--- a/briarspur/coord/sweep.py
+++ b/briarspur/coord/sweep.py
@@ -1,8 +1,8 @@
-"""Deletes objects that nobody needs any more, a few at a time.
+"""Deletes old claims and outcomes from the object store, a few at a time.
 
-Claims and outcomes are written once, never changed, and needed only as long as a caller may repeat
-its key. Each says when it was written. The sweeper keeps nothing itself, because the process that
-runs it may be replaced long before an object is old.
+Claims and outcomes are written once, are never changed, and are needed only as long as a caller may
+repeat its key. Each contains the time at which it was written. The sweeper stores no state, because
+the process that runs it may be replaced long before an object is old.
 """
 
 import contextlib
@@ -14,72 +14,73 @@
 
 __all__ = ["Sweeper", "hex_prefixes"]
 
-DEFAULT_DELETIONS = 50
+DEFAULT_MAX_DELETIONS = 50
 
 
 def hex_prefixes(name: str) -> list[str]:
-    """Return the 256 parts into which ``name`` is listed, for objects named by a hex digest."""
+    """Return 256 prefixes that split the objects under ``name`` by the start of a hex digest."""
     return [f"{name}{part:02x}" for part in range(256)]
 
 
 class Sweeper:
-    """Deletes objects whose field ``at`` lies too long ago; others it never touches.
+    """Deletes objects whose field ``at`` is older than the retention time, and no others.
 
     Parameters
     ----------
     store : ObjectStore
     prefixes : sequence of str
-        Listed in turn, one each step, so that no listing grows large.
-    keep : float
-        Seconds. Clocks of writers and sweeper differ, so this must be many times the difference:
-        a claim deleted while its caller still repeats the key lets it run again.
+        Prefixes to list in turn, one per step, so that no listing grows large.
+    retention : float
+        Seconds for which objects are kept. This must be many times the difference between the
+        clocks of writers and sweeper: if a claim is deleted while its caller still repeats the
+        key, the key runs again.
     wall : callable
         Unix seconds.
-    deletions : int
-        At most this many each step, to leave the store's writes to others.
+    max_deletions : int
+        Maximum number of deletions per step, to leave write capacity of the store to others.
     """
 
     def __init__(
         self,
         store: ObjectStore,
         prefixes: Sequence[str],
-        keep: float,
+        retention: float,
         wall: Callable[[], float],
-        deletions: int = DEFAULT_DELETIONS,
+        max_deletions: int = DEFAULT_MAX_DELETIONS,
     ) -> None:
         self._store = store
         self._prefixes = prefixes
-        self._keep = keep
+        self._retention = retention
         self._wall = wall
-        self._deletions = deletions
-        self._turn = 0
+        self._max_deletions = max_deletions
+        self._step_count = 0
 
     async def step(self) -> int:
-        """List one prefix and delete what is old there; return how many objects went.
+        """List one prefix and delete its old objects; return the number of deleted objects.
 
-        An error of the store ends the step; a later one goes on.
+        A store error ends the step; a later step continues.
         """
-        prefix = self._prefixes[self._turn % len(self._prefixes)]
-        self._turn += 1
+        prefix = self._prefixes[self._step_count % len(self._prefixes)]
+        self._step_count += 1
         deleted = 0
         with contextlib.suppress(StoreError):
-            for stored in self._old(await self._store.list(prefix))[: self._deletions]:
+            for stored in self._select_old(await self._store.list(prefix))[: self._max_deletions]:
                 deleted += await self._delete(stored)
         return deleted
 
-    def _old(self, found: list[StoredObject]) -> list[StoredObject]:
-        times = [(_written_at(stored), stored) for stored in found]
-        known = [(at, stored) for at, stored in times if at is not None]
+    def _select_old(self, found: list[StoredObject]) -> list[StoredObject]:
+        with_times = [(_written_at(stored), stored) for stored in found]
+        dated = [(at, stored) for at, stored in with_times if at is not None]
         # A sweeper whose clock is days ahead would delete every claim, and each repeat would run
-        # again. So an object is old only if another one is younger by as much, too.
-        now = min(self._wall(), max((at for at, _ in known), default=0.0))
-        return [stored for at, stored in known if at + self._keep <= now]
+        # again. So an object only counts as old if another object is newer by the retention time.
+        now = min(self._wall(), max((at for at, _ in dated), default=0.0))
+        return [stored for at, stored in dated if at + self._retention <= now]
 
     async def _delete(self, stored: StoredObject) -> bool:
         try:
             await self._store.delete(stored.name, stored.version)
         except StoreConflictError:
-            # The listing was old: another sweeper was quicker, or the name is in use again.
+            # The listing was stale: another sweeper deleted the object, or its name was used again.
             return False
         return True
 
--- a/tests/coord/test_sweep.py
+++ b/tests/coord/test_sweep.py
@@ -11,77 +11,77 @@
 from briarspur.coord.sweep import Sweeper, hex_prefixes
 from tests.coord.test_once import DIGEST, WALL, make_key, make_memory
 
-KEEP = 7 * 86_400.0
+RETENTION_S = 7 * 86_400.0
 
 
 class SweeperTest(unittest.IsolatedAsyncioTestCase):
-    """Nothing goes that a caller may still ask for."""
+    """No object is deleted that a caller may still need."""
 
     def setUp(self) -> None:
         self.wall = WALL
         self.store = MemoryStore()
 
-    def sweeper(self, *prefixes: str, deletions: int = 50) -> Sweeper:
-        return Sweeper(self.store, prefixes, KEEP, lambda: self.wall, deletions)
+    def make_sweeper(self, *prefixes: str, max_deletions: int = 50) -> Sweeper:
+        return Sweeper(self.store, prefixes, RETENTION_S, lambda: self.wall, max_deletions)
 
-    async def claim(self, count: int) -> None:
+    async def write_claims(self, count: int) -> None:
         claims = Claims(self.store, "a", lambda: "t", wall=lambda: self.wall)
         for n in range(count):
             await claims.claim(Key(f"foreign-key-{self.wall}-{n}"), DIGEST)
 
-    async def mark(self, name: str) -> None:
-        """Write an object that is as young as the clock will be."""
-        await self.store.put(name, json.dumps({"at": self.wall + KEEP}).encode(), ABSENT)
+    async def write_new_object(self, name: str) -> None:
+        """Write an object dated one retention time ahead, so that current objects may be old."""
+        await self.store.put(name, json.dumps({"at": self.wall + RETENTION_S}).encode(), ABSENT)
 
-    async def test_only_old_claims_go(self) -> None:
-        await self.claim(3)
-        self.wall += KEEP - 1.0
-        await self.claim(2)
-        sweeper = self.sweeper("claims/")
+    async def test_only_old_claims_are_deleted(self) -> None:
+        await self.write_claims(3)
+        self.wall += RETENTION_S - 1.0
+        await self.write_claims(2)
+        sweeper = self.make_sweeper("claims/")
         self.assertEqual(await sweeper.step(), 0)
         self.wall += 1.0
-        await self.claim(1)
+        await self.write_claims(1)
         self.assertEqual(await sweeper.step(), 3)
         self.assertEqual(len(await self.store.list("claims/")), 3)
 
-    async def test_sweeper_whose_clock_is_ahead(self) -> None:
-        """Every claim is gone, and each builder's repeat places its order again.
+    async def test_sweeper_with_a_fast_clock_deletes_nothing(self) -> None:
+        """A replaced VM that sweeps before its clock is set must not delete every claim.
 
-        A replaced VM sweeps before its clock is set.
+        Otherwise each repeat of a builder would place its order again.
         """
-        await self.claim(3)
-        self.wall += 100 * KEEP
-        self.assertEqual(await self.sweeper("claims/").step(), 0)
+        await self.write_claims(3)
+        self.wall += 100 * RETENTION_S
+        self.assertEqual(await self.make_sweeper("claims/").step(), 0)
 
-    async def test_claim_of_an_entry_whose_clock_is_ahead(self) -> None:
-        await self.claim(3)
-        await self.mark("claims/new")
-        self.assertEqual(await self.sweeper("claims/").step(), 0)
+    async def test_claim_of_an_entry_with_a_fast_clock_deletes_no_others(self) -> None:
+        await self.write_claims(3)
+        await self.write_new_object("claims/new")
+        self.assertEqual(await self.make_sweeper("claims/").step(), 0)
 
-    async def test_outcomes_go_too_and_other_objects_stay(self) -> None:
+    async def test_outcomes_are_deleted_and_other_objects_are_kept(self) -> None:
         memory = make_memory()
         memory.admit_request(make_key(), DIGEST, "a", 0.0, WALL)
         for page in close_and_export(memory):
             await self.store.put(page.name, page.value, ABSENT)
-        await self.mark("outcomes/new")
+        await self.write_new_object("outcomes/new")
         await self.store.put("outcomes/other", b"no JSON", ABSENT)
-        self.wall += KEEP
-        self.assertEqual(await self.sweeper("outcomes/").step(), 1)
+        self.wall += RETENTION_S
+        self.assertEqual(await self.make_sweeper("outcomes/").step(), 1)
         self.assertIsNotNone(self.store.peek("outcomes/new"))
         self.assertIsNotNone(self.store.peek("outcomes/other"))
 
-    async def test_steps_are_small(self) -> None:
-        await self.claim(5)
-        await self.mark("claims/new")
-        self.wall += KEEP
-        sweeper = self.sweeper("claims/", deletions=2)
+    async def test_deletions_per_step_are_limited(self) -> None:
+        await self.write_claims(5)
+        await self.write_new_object("claims/new")
+        self.wall += RETENTION_S
+        sweeper = self.make_sweeper("claims/", max_deletions=2)
         self.assertEqual([await sweeper.step() for _ in range(4)], [2, 2, 1, 0])
         self.assertEqual(len(hex_prefixes("claims/")), 256)
 
-    async def test_store_fails(self) -> None:
-        await self.claim(2)
-        await self.mark("claims/new")
-        self.wall += KEEP
+    async def test_step_after_a_store_error_continues(self) -> None:
+        await self.write_claims(2)
+        await self.write_new_object("claims/new")
+        self.wall += RETENTION_S
         self.store.fail_next(StoreFault.UNAVAILABLE)
-        sweeper = self.sweeper("claims/")
+        sweeper = self.make_sweeper("claims/")
         self.assertEqual([await sweeper.step(), await sweeper.step()], [0, 2])
