--- a/tests/coord/test_lease.py
+++ b/tests/coord/test_lease.py
@@ -146,7 +146,7 @@
         self.assertFalse(self.a.is_held())
 
     async def test_late_renewal_does_not_revive_an_abandoned_lease(self) -> None:
-        """A fenced-off holder must not keep renewing without writing, so that nobody can plan."""
+        """A fenced-off holder that kept renewing would write nothing and block other planners."""
         await self.acquire(self.a)
         self.store.hold_calls = True
         step = asyncio.create_task(self.a.lease.renew_or_acquire())
