--- a/briarspur/exchange.py
+++ b/briarspur/exchange.py
@@ -142,6 +142,6 @@
     def borrowed(self, wanted: BorrowWanted, granted: int) -> None:
         """Add what a peer granted."""
         if granted > 0:
-            self._placement.account.borrowed(
+            self._placement.account.add_borrowed(
                 wanted.transfer_id, granted, wanted.asked_at, wanted.lifetime
             )
--- a/briarspur/placement.py
+++ b/briarspur/placement.py
@@ -116,7 +116,7 @@
         have lent; later ones by the rules of the account.
         """
         if self._limited:
-            self.account.set_longest_use(settings.longest_use, now)
+            self.account.set_max_use(settings.max_use, now)
             self.account.set_base(share, now)
             return
         self.account = Account(self.account.resource, share, now, settings, fresh=True)
@@ -207,7 +207,7 @@
             spare = self.account.free(now, work.deadline) - 1
             if spare < self._free_slots_beside(work.service.name, now):
                 return False
-        return self.account.take(now, work.deadline)
+        return self.account.acquire(now, work.deadline)
 
     def _free_slots_beside(self, service: str, now: float) -> int:
         """Return the free slots of our targets of all other services."""
--- a/briarspur/routing.py
+++ b/briarspur/routing.py
@@ -48,7 +48,7 @@
         self._regions = RegionChooser(policy, self._rng, self._regions)
         region = policy.regions_by_name[self._region]
         share = base_shares(region.in_flight_limit, region.entry_ids).get(self._me, 0)
-        self._placement.set_limit(share, now, EscrowSettings(longest_use=policy.longest_deadline))
+        self._placement.set_limit(share, now, EscrowSettings(max_use=policy.longest_deadline))
         entry_ids = sorted(policy.entry_zones)
         caps = {
             kind.value: ShiftCap(base_shares(cap.requests, entry_ids).get(self._me, 0), cap.window)
--- a/tests/coord/test_escrow.py
+++ b/tests/coord/test_escrow.py
@@ -1,4 +1,4 @@
-"""Tests of escrow accounts: the sum over members never exceeds the limit."""
+"""Tests of escrow accounts: the sum over all members never exceeds the limit."""
 
 import unittest
 from dataclasses import dataclass, replace
@@ -21,7 +21,7 @@
 LENGTHS = [0.2, 1.0, 3.9, 6.0]
 MEMBERS = ["entry-1", "entry-2", "entry-3"]
 TIMES = EscrowSettings(
-    margin=0.5, drift=0.05, longest_use=6.0, longest_loan=4.0, spread=2.0, lendable_share=0.7
+    margin=0.5, max_drift=0.05, max_use=6.0, max_loan=4.0, propagation=2.0, lendable_share=0.7
 )
 FIXED = settings(
     derandomize=True, deadline=None, database=None, max_examples=1000, stateful_step_count=25
@@ -29,7 +29,7 @@
 
 
 class BaseSharesTest(unittest.TestCase):
-    """Shares add up."""
+    """Shares add up to the limit."""
 
     @settings(derandomize=True, deadline=None, database=None)
     @given(st.integers(0, 5_000), st.integers(1, 60))
@@ -40,75 +40,77 @@
 
 
 class AccountTest(unittest.TestCase):
-    """One account, or a giver and a borrower."""
+    """One account, or a lender and a borrower."""
 
     def setUp(self) -> None:
         invariants.strict = True
-        self.giver = Account("in-flight/north", 6, settings=TIMES)
+        self.lender = Account("in-flight/north", 6, settings=TIMES)
         self.borrower = Account("in-flight/north", 1, settings=TIMES)
 
-    def test_lending_subtracts_before_the_reply(self) -> None:
-        self.assertEqual(self.giver.lend("t1", 3, 4.0, now=0.0), 3)
-        self.assertEqual(self.giver.held(0.0), 3)
-        self.assertEqual(self.giver.held(4.6), 3, "the margin has not passed")
-        self.assertEqual(self.giver.held(4.8), 6)
+    def test_lending_subtracts_before_the_reply_is_sent(self) -> None:
+        self.assertEqual(self.lender.lend("t1", 3, 4.0, now=0.0), 3)
+        self.assertEqual(self.lender.held(0.0), 3)
+        self.assertEqual(self.lender.held(4.6), 3, "the margin has not passed")
+        self.assertEqual(self.lender.held(4.8), 6)
 
     def test_a_repeated_request_gets_the_same_reply(self) -> None:
-        self.giver.lend("t1", 3, 4.0, now=0.0)
-        self.assertEqual(self.giver.lend("t1", 3, 4.0, now=1.0), 3)
-        self.assertEqual(self.giver.held(1.0), 3)
+        self.lender.lend("t1", 3, 4.0, now=0.0)
+        self.assertEqual(self.lender.lend("t1", 3, 4.0, now=1.0), 3)
+        self.assertEqual(self.lender.held(1.0), 3)
 
-    def test_a_doubled_reply_adds_once(self) -> None:
+    def test_a_duplicated_reply_is_added_once(self) -> None:
         for _ in range(2):
-            self.borrower.borrowed("t1", 3, asked_at=0.0, lifetime=4.0)
+            self.borrower.add_borrowed("t1", 3, requested_at=0.0, lifetime=4.0)
         self.assertEqual(self.borrower.held(1.0), 4)
         self.assertEqual(self.borrower.held(4.0), 1)
 
-    def test_work_must_end_with_the_part_it_stands_on(self) -> None:
-        """A region runs more requests than its limit, seconds after a burst.
+    def test_work_on_a_loan_must_end_before_the_loan_expires(self) -> None:
+        """Guard against a region that runs more requests than its limit, seconds after a burst.
 
-        An entry borrowed a part, began a long request on it, and the part ended before the request
-        did. The giver took the part back and used it too.
+        An entry borrowed units, started a long request on them, and the loan expired before the
+        request ended. The lender then used the same units too.
         """
-        self.borrower.borrowed("t1", 1, asked_at=0.0, lifetime=4.0)
-        self.assertTrue(self.borrower.take(0.0, until=6.0))
-        self.assertFalse(self.borrower.take(0.0, until=5.0))
-        self.assertTrue(self.borrower.take(0.0, until=4.0))
+        self.borrower.add_borrowed("t1", 1, requested_at=0.0, lifetime=4.0)
+        self.assertTrue(self.borrower.acquire(0.0, until=6.0))
+        self.assertFalse(self.borrower.acquire(0.0, until=5.0))
+        self.assertTrue(self.borrower.acquire(0.0, until=4.0))
 
-    def test_what_is_in_use_is_not_lent(self) -> None:
+    def test_units_in_use_are_not_lent(self) -> None:
         for _ in range(5):
-            self.giver.take(0.0)
-        self.assertEqual(self.giver.lend("t1", 3, 4.0, now=0.0), 1)
+            self.lender.acquire(0.0)
+        self.assertEqual(self.lender.lend("t1", 3, 4.0, now=0.0), 1)
 
-    def test_a_larger_share_waits_and_a_smaller_one_does_not(self) -> None:
-        self.giver.set_base(8, now=0.0)
-        self.giver.set_base(8, now=4.0)
-        self.assertEqual(self.giver.held(8.3), 6)
-        self.assertEqual(self.giver.held(8.5), 8)
-        self.giver.set_base(2, now=9.0)
-        self.assertEqual(self.giver.held(9.0), 2)
+    def test_a_larger_share_applies_later_and_a_smaller_one_at_once(self) -> None:
+        self.lender.set_base(8, now=0.0)
+        self.lender.set_base(8, now=4.0)
+        self.assertEqual(self.lender.held(8.3), 6)
+        self.assertEqual(self.lender.held(8.5), 8)
+        self.lender.set_base(2, now=9.0)
+        self.assertEqual(self.lender.held(9.0), 2)
 
-    def test_longer_work_is_allowed_once_all_know_of_it(self) -> None:
-        """Every download is refused as "region full" after an operator raised its deadline.
+    def test_longer_work_is_allowed_once_all_members_know_the_new_maximum(self) -> None:
+        """Guard against downloads refused as "region full" after an operator raised their deadline.
 
         The account still refused work longer than the longest deadline of the first policy.
         """
-        self.giver.set_longest_use(20.0, now=0.0)
-        self.assertFalse(self.giver.take(1.0, until=12.0), "not all members know it")
-        self.assertTrue(self.giver.take(2.2, until=12.0))
-        self.giver.set_base(8, now=3.0)
-        self.assertEqual(self.giver.held(3.0 + 2.0 + 20.0), 6)
-        self.assertEqual(self.giver.held(27.0), 8)
-
-    def test_shorter_work_only_is_allowed_at_once(self) -> None:
-        self.giver.set_longest_use(3.0, now=0.0)
-        self.assertFalse(self.giver.take(0.0, until=5.0))
-        self.assertTrue(self.giver.take(0.0, until=3.0))
-
-    def test_a_fresh_process_holds_back_what_the_last_one_may_have_lent(self) -> None:
-        """A region runs more requests than its limit just after an entry was replaced.
-
-        The old process had lent a part of its share; the new one knows nothing of it.
+        self.lender.set_max_use(20.0, now=0.0)
+        self.assertFalse(
+            self.lender.acquire(1.0, until=12.0), "not all members know the new maximum"
+        )
+        self.assertTrue(self.lender.acquire(2.2, until=12.0))
+        self.lender.set_base(8, now=3.0)
+        self.assertEqual(self.lender.held(3.0 + 2.0 + 20.0), 6)
+        self.assertEqual(self.lender.held(27.0), 8)
+
+    def test_a_shorter_maximum_applies_at_once(self) -> None:
+        self.lender.set_max_use(3.0, now=0.0)
+        self.assertFalse(self.lender.acquire(0.0, until=5.0))
+        self.assertTrue(self.lender.acquire(0.0, until=3.0))
+
+    def test_a_fresh_process_withholds_what_the_last_one_may_have_lent(self) -> None:
+        """Guard against a region that exceeds its limit just after an entry was replaced.
+
+        The old process had lent units of its share; the new one has no record of the loan.
         """
         fresh = Account("in-flight/north", 6, now=100.0, settings=TIMES, fresh=True)
         self.assertEqual(fresh.held(100.0), 2)
@@ -117,22 +119,22 @@
 
 @dataclass
 class Message:
-    """A request or a reply that is on its way."""
+    """A request or a reply in transit."""
 
     sender: str
     receiver: str
     transfer_id: str
     amount: int
     lifetime: float
-    asked_at: float
+    requested_at: float
     is_reply: bool = False
 
 
 class EscrowMachine(RuleBasedStateMachine):
-    """Three members, clocks of their own, and messages that are lost, late, doubled, reordered.
+    """Three members with clocks of different rates, and an unreliable network.
 
-    A user sees a region slowed by more requests than it carries. It would come from two members
-    that count the same unit of the limit as theirs.
+    Messages are lost, delayed, duplicated and reordered. If two members counted the same unit of
+    the limit as their own, the region would get more requests than it can serve.
     """
 
     @initialize(rates=st.permutations([0.98, 1.0, 1.02]))
@@ -158,17 +160,17 @@
         return set(self.known_version.values()) == {len(self.bases) - 1}
 
     def advance(self, seconds: float) -> None:
-        """Let time pass; work ends by its time, and news reach all within the spread."""
+        """Advance time: work ends when due, and members learn a version within ``propagation``."""
         if not self.all_informed():
-            seconds = min(seconds, max(0.0, self.published_at + TIMES.spread - self.time))
+            seconds = min(seconds, max(0.0, self.published_at + TIMES.propagation - self.time))
         self.time += seconds
         for member, ends in self.ends.items():
             for end in [end for end in ends if end <= self.now(member)]:
                 ends.remove(end)
                 self.accounts[member].release(end)
-        if self.time >= self.published_at + TIMES.spread:
+        if self.time >= self.published_at + TIMES.propagation:
             for member in MEMBERS:
-                self.hear_version(member)
+                self.learn_version(member)
 
     @rule(seconds=st.sampled_from([0.01, 0.3, 1.0, 3.9, 8.0]))
     def pass_time(self, seconds: float) -> None:
@@ -177,7 +179,7 @@
     @precondition(lambda self: self.edges)
     @rule(data=st.data(), beyond=st.sampled_from([0.001, 0.05]), members=st.permutations(MEMBERS))
     def pass_to_an_edge(self, data: st.DataObject, beyond: float, members: list[str]) -> None:
-        """Let time pass until just after a loan's lifetime, or its return, on its giver's clock."""
+        """Advance to just after a loan's lifetime, or its expiry, on the lender's clock."""
         edge = data.draw(st.sampled_from(self.edges))
         self.edges.remove(edge)
         self.advance(max(0.0, edge + beyond - self.time))
@@ -186,7 +188,7 @@
     @rule(member=st.sampled_from(MEMBERS), length=st.floats(0.01, 6.0))
     def take(self, member: str, length: float) -> None:
         until = self.now(member) + length
-        if self.accounts[member].take(self.now(member), until):
+        if self.accounts[member].acquire(self.now(member), until):
             self.ends[member].append(until)
 
     @rule(length=st.sampled_from(LENGTHS), members=st.permutations(MEMBERS))
@@ -194,10 +196,10 @@
         self.fill(length, members)
 
     def fill(self, length: float, members: list[str]) -> None:
-        """Take all that can be taken, one member after the other."""
+        """Acquire all free units, one member after the other."""
         for member in members:
             until = self.now(member) + length
-            while self.accounts[member].take(self.now(member), until):
+            while self.accounts[member].acquire(self.now(member), until):
                 self.ends[member].append(until)
 
     @rule(member=st.sampled_from(MEMBERS))
@@ -225,7 +227,7 @@
         self.sent += 1
         transfer_id = f"{sender}/{self.sent}"
         message = Message(
-            sender, receiver, transfer_id, amount, lifetime, asked_at=self.now(sender)
+            sender, receiver, transfer_id, amount, lifetime, requested_at=self.now(sender)
         )
         self.messages.append(message)
         if arrives != "nothing":
@@ -246,14 +248,14 @@
     def handle(self, message: Message) -> None:
         account = self.accounts[message.receiver]
         if message.is_reply:
-            account.borrowed(
-                message.transfer_id, message.amount, message.asked_at, message.lifetime
+            account.add_borrowed(
+                message.transfer_id, message.amount, message.requested_at, message.lifetime
             )
             return
         now = self.now(message.receiver)
         granted = account.lend(message.transfer_id, message.amount, message.lifetime, now)
         rate = self.rates[message.receiver]
-        returned = message.lifetime * (1.0 + TIMES.drift) + TIMES.margin
+        returned = message.lifetime * (1.0 + TIMES.max_drift) + TIMES.margin
         new = [self.time + message.lifetime / rate, self.time + returned / rate]
         self.edges = [*self.edges, *new][-4:]
         reply = replace(
@@ -272,7 +274,7 @@
 
     @rule(pair=st.permutations(MEMBERS), tilt=st.integers(1, 2))
     def publish_shares(self, pair: list[str], tilt: int) -> None:
-        """Move a part from one member to another, once the version before is known to all."""
+        """Move units from one member to another, once all know the previous version."""
         if not self.all_informed():
             return
         shares = base_shares(LIMIT, MEMBERS)
@@ -282,14 +284,14 @@
         self.published_at = self.time
 
     @rule(member=st.sampled_from(MEMBERS))
-    def hear_version(self, member: str) -> None:
+    def learn_version(self, member: str) -> None:
         self.known_version[member] = len(self.bases) - 1
         self.accounts[member].set_base(self.bases[-1][member], self.now(member))
 
     @precondition(lambda self: len(self.bases) == 1)
     @rule(member=st.sampled_from(MEMBERS))
     def replace_process(self, member: str) -> None:
-        """Kill the process; its connections break, and a fresh one takes the seat."""
+        """Kill the process; its connections break, and a fresh one replaces it."""
         self.ends[member].clear()
         self.accounts[member] = Account(
             "limit", self.bases[0][member], now=self.now(member), settings=TIMES, fresh=True
@@ -304,7 +306,7 @@
 
 
 class EscrowMachineTest(unittest.TestCase):
-    """Run the machine with a fixed seed, and one loan's life with the times drawn closely."""
+    """Run the machine with a fixed seed, and one loan with times drawn near its expiry."""
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=600)
     @given(
--- a/tools/limitcost.py
+++ b/tools/limitcost.py
@@ -90,7 +90,7 @@
     account = Account("in-flight/north", 100)
 
     def take_and_release() -> None:
-        account.take(0.0, 1.0)
+        account.acquire(0.0, 1.0)
         account.release(1.0)
 
     show("escrow: take and release, nothing lent", micros(take_and_release, 20_000), "us")
