--- a/briarspur/routing.py
+++ b/briarspur/routing.py
@@ -106,11 +106,11 @@
         """
         if work.counted_at is not None:
             service = work.service.name
-            self.shifts.give_back(service, work.home, work.region, work.counted_at)
+            self.shifts.cancel(service, work.home, work.region, work.counted_at)
             work.counted_at = None
 
     def _gate(self, service: str, home: str, region: str, kind: MovedBy, now: float) -> bool:
-        return self.shifts.take(service, home, region, kind.value, now)
+        return self.shifts.admit(service, home, region, kind.value, now)
 
     def _with_retry_after(self, refusal: Refusal, now: float) -> Refusal:
         wait = NO_TARGET_RETRY_AFTER
--- a/tools/limitcost.py
+++ b/tools/limitcost.py
@@ -97,7 +97,7 @@
     budget = ShiftBudget({k: ShiftCap(10**6, 5.0) for k in ("planned", "emergency", "return")})
     show(
         "shift: take",
-        micros(lambda: budget.take("times", "north", "south", "planned", 1.0), 20_000),
+        micros(lambda: budget.admit("times", "north", "south", "planned", 1.0), 20_000),
         "us",
     )
     for targets, members in ((10, 4), (60, 16), (240, 155)):
