--- a/briarspur/target.py
+++ b/briarspur/target.py
@@ -159,7 +159,7 @@
     def answered(self, own: OwnTarget, latency: float, now: float) -> None:
         """Learn from a whole answer; ``latency`` in seconds."""
         own.ramp.set_reference(self.mean_latency or None)
-        own.ramp.answered(latency, now)
+        own.ramp.record_latency(latency, now)
         if self.mean_latency == 0.0:
             self.mean_latency = latency
         else:
