--- a/briarspur/coord/retry.py
+++ b/briarspur/coord/retry.py
@@ -1,20 +1,20 @@
-"""Retry budget: retries stay a fixed part of first attempts."""
+"""Retry budget: limits retries to a fixed share of first attempts."""
 
 __all__ = ["RetryBudget"]
 
 
 class RetryBudget:
-    """A token bucket that first attempts fill and retries empty; one for each service.
+    """A token bucket that first attempts fill and retries drain; one for each service.
 
-    After ``n`` first attempts, at most ``burst + share * n`` retries were allowed, so retries can't
+    Over ``n`` first attempts, it allows at most ``burst + share * n`` retries, so retries can't
     multiply the load on servers that already fail.
 
     Parameters
     ----------
     share : float
-        Tokens that a first attempt adds; 0.1 allows one retry in ten requests.
+        Tokens that each first attempt adds; 0.1 allows one retry in ten requests.
     burst : float
-        Most tokens kept; also those at the start.
+        Maximum number of tokens, and their number at the start.
     """
 
     def __init__(self, share: float, burst: float = 5.0) -> None:
@@ -24,19 +24,19 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that could be taken now."""
+        """Number of tokens left; each retry takes one."""
         return self._tokens
 
     def set_share(self, share: float) -> None:
-        """Take a new share, from a new policy."""
+        """Set the share, after a change of policy."""
         self._share = share
 
-    def first_attempt(self) -> None:
-        """Count a request's first attempt."""
+    def record_first_attempt(self) -> None:
+        """Add the tokens of one first attempt."""
         self._tokens = min(self._burst, self._tokens + self._share)
 
     def take(self) -> bool:
-        """Take one retry; False if the budget is spent."""
+        """Take the token for one retry; return False if none is left."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/briarspur/routing.py
+++ b/briarspur/routing.py
@@ -66,7 +66,7 @@
 
     def first_attempt(self, work: Work) -> None:
         """Count a request towards the retry budget of its service."""
-        self._retries_by_service[work.service.name].first_attempt()
+        self._retries_by_service[work.service.name].record_first_attempt()
 
     def take_retry(self, work: Work) -> bool:
         """Take one retry from the budget; False if it is spent."""
