--- a/briarspur/coord/outlier.py
+++ b/briarspur/coord/outlier.py
@@ -1,13 +1,13 @@
-"""Outlier ejection: servers that fail are left out, judged by the outcomes of own traffic.
+"""Outlier ejection: excludes failing servers, based on the outcomes of this member's own requests.
 
-Reports of health lag or mislead, so only outcomes count here. A server is bad after some failures
-in a row, or when too large a share of its recent outcomes failed. A bad server is left out for a
-time that doubles with each ejection, then it is on probation: one failure ejects it again, some
-successes clear it.
+Health reports lag or mislead, so only outcomes count here. A server is ejected after a number of
+consecutive failures, or when too large a share of its recent outcomes are failures. The duration
+doubles with each ejection. Afterwards the server is on probation: one failure ejects it again, and
+a number of consecutive successes ends the probation.
 
-Never more than half of the servers are left out. If more than half are bad at once, the cause is
-more likely what measures them (the link, this member, a backing service) than each of them; leaving
-them out would push all traffic on the few that look well, so then none is left out.
+At most half of the servers are excluded. If more than half are ejected at once, the cause is more
+likely what they have in common (the link, this member, a backing service) than each server.
+Excluding them would send all traffic to the few that look healthy, so then none is excluded.
 """
 
 from collections import deque
@@ -16,7 +16,7 @@
 
 from briarspur.coord.invariants import invariants
 
-__all__ = ["OutlierSettings", "Outliers"]
+__all__ = ["OutlierDetector", "OutlierSettings"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,26 +25,26 @@
 
     Attributes
     ----------
-    in_a_row : int
-        Failures in a row that make a server bad.
-    share : float
-        Share of failures among the recent outcomes that makes it bad.
-    recent : int
-        How many outcomes are recent; fewer give no share.
-    ejection : float
-        Length of the first ejection.
-    longest : float
-        Length of the longest ejection.
-    probation : int
-        Successes in a row that end a probation.
+    consecutive_failures : int
+        Number of consecutive failures that ejects a server.
+    failure_share : float
+        Share of failures among the recent outcomes that ejects a server.
+    recent_outcomes : int
+        Number of recent outcomes that are kept. With fewer, the share isn't evaluated.
+    first_ejection : float
+        Duration of the first ejection.
+    max_ejection : float
+        Maximum duration of an ejection.
+    probation_successes : int
+        Number of consecutive successes that ends a probation.
     """
 
-    in_a_row: int = 5
-    share: float = 0.5
-    recent: int = 20
-    ejection: float = 5.0
-    longest: float = 60.0
-    probation: int = 3
+    consecutive_failures: int = 5
+    failure_share: float = 0.5
+    recent_outcomes: int = 20
+    first_ejection: float = 5.0
+    max_ejection: float = 60.0
+    probation_successes: int = 3
 
 
 @dataclass(slots=True)
@@ -52,20 +52,20 @@
     """Outcomes of one server."""
 
     outcomes: deque[bool]
-    failures_in_a_row: int = 0
-    successes_in_a_row: int = 0
+    consecutive_failures: int = 0
+    consecutive_successes: int = 0
     ejections: int = 0
     ejected_until: float = 0.0
     on_probation: bool = field(default=False)
 
 
-class Outliers:
-    """The servers of one service in one region.
+class OutlierDetector:
+    """Detects outliers among the servers of one service in one region.
 
     Parameters
     ----------
     targets : iterable of str
-        All of them, ejected or not.
+        All servers, ejected or not.
     """
 
     def __init__(
@@ -76,66 +76,71 @@
         self.set_targets(targets)
 
     def set_targets(self, targets: Iterable[str]) -> None:
-        """Follow a new list of servers; those that stay keep their outcomes."""
+        """Set the list of servers; those that remain keep their outcomes."""
         self._record_by_target = {
-            target: self._record_by_target.get(target) or self._fresh() for target in targets
+            target: self._record_by_target.get(target) or self._new_record() for target in targets
         }
 
     def record(self, target: str, ok: bool, now: float) -> None:
-        """Count the outcome of one attempt; ``ok`` also for answers that shed load."""
+        """Record the outcome of one attempt; a response that sheds load is ``ok`` too."""
         record = self._record_by_target.get(target)
         if record is None:
             return
         record.outcomes.append(ok)
-        record.failures_in_a_row = 0 if ok else record.failures_in_a_row + 1
-        record.successes_in_a_row = record.successes_in_a_row + 1 if ok else 0
-        # Outcomes of attempts that began before the ejection must not lengthen it.
+        record.consecutive_failures = 0 if ok else record.consecutive_failures + 1
+        record.consecutive_successes = record.consecutive_successes + 1 if ok else 0
+        # Outcomes of attempts that started before the ejection must not extend it.
         if now < record.ejected_until:
             return
-        if record.on_probation and record.successes_in_a_row >= self._settings.probation:
+        if (
+            record.on_probation
+            and record.consecutive_successes >= self._settings.probation_successes
+        ):
             record.on_probation = False
             record.ejections = 0
-        if self._is_bad(record):
+        if self._is_unhealthy(record):
             self._eject(record, now)
 
     def ejected(self, target: str, now: float) -> bool:
-        """Return whether to leave the server out now."""
+        """Return whether the server is excluded at ``now``."""
         return target in self.ejected_targets(now)
 
     def ejected_targets(self, now: float) -> frozenset[str]:
-        """Return all servers that are left out now."""
-        bad = self.bad_targets(now)
-        if self.suspects_measurement(now):
+        """Return all servers that are excluded at ``now``."""
+        unhealthy = self.unhealthy_targets(now)
+        if self.suspects_common_cause(now):
             return frozenset()
         total = len(self._record_by_target)
-        invariants.check("outlier.at-most-half", 2 * len(bad) <= total, (bad, total))
-        return bad
+        invariants.check("outlier.at-most-half", 2 * len(unhealthy) <= total, (unhealthy, total))
+        return unhealthy
 
-    def bad_targets(self, now: float) -> frozenset[str]:
-        """Return the servers whose own outcomes speak against them."""
+    def unhealthy_targets(self, now: float) -> frozenset[str]:
+        """Return the servers whose outcomes call for ejection, however many they are."""
         records = self._record_by_target.items()
         return frozenset(target for target, record in records if now < record.ejected_until)
 
-    def suspects_measurement(self, now: float) -> bool:
-        """Return whether so many servers are bad that the fault must lie elsewhere."""
-        return 2 * len(self.bad_targets(now)) > len(self._record_by_target)
+    def suspects_common_cause(self, now: float) -> bool:
+        """Return whether so many servers are unhealthy that a common cause is more likely."""
+        return 2 * len(self.unhealthy_targets(now)) > len(self._record_by_target)
 
-    def _is_bad(self, record: Record) -> bool:
+    def _is_unhealthy(self, record: Record) -> bool:
         if record.on_probation:
-            return record.failures_in_a_row >= 1
-        if record.failures_in_a_row >= self._settings.in_a_row:
+            return record.consecutive_failures >= 1
+        if record.consecutive_failures >= self._settings.consecutive_failures:
             return True
         failures = sum(1 for ok in record.outcomes if not ok)
-        full = len(record.outcomes) == self._settings.recent
-        return full and failures >= self._settings.share * self._settings.recent
+        is_full = len(record.outcomes) == self._settings.recent_outcomes
+        return is_full and failures >= self._settings.failure_share * self._settings.recent_outcomes
 
     def _eject(self, record: Record, now: float) -> None:
-        length = min(self._settings.longest, self._settings.ejection * 2**record.ejections)
-        record.ejected_until = now + length
+        duration = min(
+            self._settings.max_ejection, self._settings.first_ejection * 2**record.ejections
+        )
+        record.ejected_until = now + duration
         record.ejections += 1
         record.on_probation = True
-        record.failures_in_a_row = 0
+        record.consecutive_failures = 0
         record.outcomes.clear()
 
-    def _fresh(self) -> Record:
-        return Record(deque(maxlen=self._settings.recent))
+    def _new_record(self) -> Record:
+        return Record(deque(maxlen=self._settings.recent_outcomes))
--- a/briarspur/placement.py
+++ b/briarspur/placement.py
@@ -7,7 +7,7 @@
 
 from briarspur.codes import Code
 from briarspur.coord.escrow import Account, EscrowSettings
-from briarspur.coord.outlier import Outliers
+from briarspur.coord.outlier import OutlierDetector
 from briarspur.loads import LoadReport, Loads
 from briarspur.members import MemberView, ViewedMember
 from briarspur.messages import Priority
@@ -99,7 +99,7 @@
         self.account = Account(f"in-flight/{region}", 0)
         self.loads = Loads()
         self.targets_by_service: dict[str, OwnTargets] = {}
-        self.outliers_by_service: dict[str, Outliers] = {}
+        self.outliers_by_service: dict[str, OutlierDetector] = {}
         self._me = me
         self._rule = rule
         self._chooser = chooser
@@ -137,7 +137,7 @@
     def _add_service(self, service: str) -> None:
         if service not in self.targets_by_service:
             self.targets_by_service[service] = OwnTargets(service, self._chooser)
-            self.outliers_by_service[service] = Outliers()
+            self.outliers_by_service[service] = OutlierDetector()
             self._waiting_by_service[service] = Waiting(self._queue_limit)
 
     def _assign_service(
