--- a/tests/coord/test_rendezvous.py
+++ b/tests/coord/test_rendezvous.py
@@ -17,7 +17,7 @@
 
 
 class RankTest(unittest.TestCase):
-    """Every process ranks alike."""
+    """Every process ranks members in the same order."""
 
     def test_rank_does_not_depend_on_the_hash_seed(self) -> None:
         code = "from briarspur.coord.rendezvous import rank; print(rank('k', 'abcdefgh'))"
@@ -32,7 +32,7 @@
         }
         self.assertEqual(printed, {f"{rank('k', 'hgfedcba')}\n".encode()})
 
-    def test_first_places_are_spread_evenly(self) -> None:
+    def test_first_ranks_are_spread_evenly(self) -> None:
         members = [f"entry-{n}" for n in range(10)]
         firsts = Counter(rank(f"key-{n}", members)[0] for n in range(2000))
         self.assertEqual(len(firsts), 10)
@@ -40,7 +40,7 @@
 
 
 class OwnersTest(unittest.TestCase):
-    """Ownership is bounded and moves little."""
+    """The number of keys of a member is bounded, and few keys move."""
 
     @FIXED
     @given(KEYS, NAMES, st.randoms(use_true_random=False))
@@ -54,7 +54,7 @@
         self.assertEqual(owners(random.sample(keys, len(keys)), shuffled), found)
 
     def test_few_keys_move_when_a_member_leaves(self) -> None:
-        """A key needs a new owner only if its owner left or the room at others changed."""
+        """A key moves only if its owner left or the free capacity of others changed."""
         members = [f"entry-{n}" for n in range(10)]
         keys = [f"target-{n}" for n in range(200)]
         before = owners(keys, members)
@@ -62,9 +62,9 @@
         for gone in members:
             after = owners(keys, [member for member in members if member != gone])
             moved += sum(1 for key in keys if before[key] != after[key])
-        # Each member left once, so 200 moves are unavoidable in sum.
+        # Each member left once, so at least 200 moves in total are unavoidable.
         self.assertGreaterEqual(moved, 200)
         self.assertLess(moved, 400)
 
-    def test_no_members_own_nothing(self) -> None:
+    def test_without_members_there_are_no_owners(self) -> None:
         self.assertEqual(owners(["target-1"], []), {})
