--- a/briarspur/coord/members.py
+++ b/briarspur/coord/members.py
@@ -1,4 +1,4 @@
-"""Facts about members, and the messages that carry them."""
+"""Members, updates about them, and the probe messages that carry updates."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -12,13 +12,13 @@
     "MemberUpdate",
     "MembershipSettings",
     "Probe",
-    "ProbeOut",
+    "OutgoingProbe",
     "Reply",
 ]
 
 
 class MemberState(IntEnum):
-    """State of a member; of two facts with one number the higher state stands."""
+    """State of a member; of two updates with the same incarnation number the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One process.
+    """One process of the cluster.
 
     Attributes
     ----------
     member_id : str
-        Its seat; a process that replaces another has the same.
+        Stays the same when a new process replaces this one.
     incarnation : str
-        Random, new with each process.
+        Random id of the process, different for each process.
     """
 
     member_id: str
@@ -49,53 +49,53 @@
 
     @property
     def address(self) -> Address:
-        """Where it answers probes."""
+        """The address on which the member answers probes."""
         return Address(self.host, self.peer_port)
 
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """One fact about a member; the higher (number, state) replaces the lower.
+    """One update about a member; the higher (incarnation_number, state) wins.
 
     Attributes
     ----------
-    number : int
-        Raised by the member alone, to refute a suspicion.
+    incarnation_number : int
+        Increased only by the member itself, to refute a suspicion.
     """
 
     member: Member
-    number: int
+    incarnation_number: int
     state: MemberState
 
     def replaces(self, other: "MemberUpdate") -> bool:
-        """Return whether this fact is the newer one."""
-        return (self.number, self.state) > (other.number, other.state)
+        """Return whether this update is newer than the other."""
+        return (self.incarnation_number, self.state) > (other.incarnation_number, other.state)
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeOut:
-    """A probe to send; report with ``on_reply`` or ``on_timeout``.
+class OutgoingProbe:
+    """A probe to send; pass the result to ``on_reply`` or ``on_timeout``.
 
     Attributes
     ----------
     address : Address
-        Where to send it.
+        Where to send the probe.
     receiver : str
-        The member that is probed; empty if only its address is known.
-    via : bool
-        Ask the member at ``address`` to probe ``receiver``.
+        Id of the member to probe; empty if only its address is known.
+    is_indirect : bool
+        Whether to ask the member at ``address`` to probe ``receiver``.
     """
 
     number: int
     address: Address
     receiver: str
-    via: bool
+    is_indirect: bool
     updates: tuple[MemberUpdate, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """A probe that came."""
+    """A received probe."""
 
     sender: str
     updates: tuple[MemberUpdate, ...]
@@ -103,12 +103,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The answer to a probe.
+    """The reply to a probe.
 
     Attributes
     ----------
     acknowledged : bool
-        False if the sender was asked to probe another, and got no reply.
+        False if the sender was asked to probe another member and got no reply.
     """
 
     sender: str
@@ -123,23 +123,23 @@
 
     Attributes
     ----------
-    suspicion : float
-        Time a suspect has to refute.
-    helpers : int
-        Members asked to probe another that did not reply.
-    updates : int
-        Most facts on one message.
-    resend : float
-        A fact is sent this many times the logarithm of the number of members.
-    list_patience : float
-        How long a member that the VM list lacks is kept if its heartbeats still come.
-    forget : float
-        How long a member that is gone is remembered.
+    suspicion_timeout : float
+        Time that a suspect has to refute the suspicion.
+    indirect_probes : int
+        Number of members that are asked to probe a member that did not reply.
+    max_updates : int
+        Maximum number of updates in one message.
+    resend_factor : float
+        Multiplied by the logarithm of the number of members, how often an update is sent.
+    unlisted_timeout : float
+        How long a member that isn't on the VM list is kept while its heartbeats still arrive.
+    gone_retention : float
+        How long the update about a member that is gone is kept.
     """
 
-    suspicion: float = 3.0
-    helpers: int = 2
-    updates: int = 8
-    resend: float = 3.0
-    list_patience: float = 300.0
-    forget: float = 600.0
+    suspicion_timeout: float = 3.0
+    indirect_probes: int = 2
+    max_updates: int = 8
+    resend_factor: float = 3.0
+    unlisted_timeout: float = 300.0
+    gone_retention: float = 600.0
--- a/briarspur/coord/membership.py
+++ b/briarspur/coord/membership.py
@@ -1,16 +1,17 @@
-"""Membership: who is there, by heartbeats with suspicion and a lagging list of VMs.
+"""Membership: detects live members by heartbeats with suspicion, and by a lagging list of VMs.
 
-Each period a member probes one other. If no reply comes, it asks two others to probe the same one;
-if these get none either, it suspects the member and says so. A suspect that does not refute in time
-is gone. Facts ride on probes and replies, a bounded number on each, so the cost of a member does
-not depend on how many there are.
+Each period a member probes one other member. If no reply arrives, it asks two others to probe the
+same member; if they get no reply either, it suspects the member and advertises the suspicion. A
+suspect that doesn't refute the suspicion in time is gone. Updates are piggybacked on probes and
+replies. Their number per message is bounded, so the cost per member doesn't depend on the size of
+the cluster.
 
-The VM list lags. It names addresses to probe, and nothing more: a member that it lacks is dropped
-only when heartbeats fail too, or after a long while; a member that heartbeats miss is gone from the
-view, yet its address is probed again as long as the list names it.
+The VM list lags, so it only serves as a list of addresses to probe. A member that isn't on the list
+is dropped only if its heartbeats fail too, or after a long timeout. A member whose heartbeats fail
+leaves the view, but its address is probed again for as long as it is listed.
 
-A member that hears less than half of its region is isolated: the fault is likely its own, so it
-declares nobody gone until that ends.
+A member that receives heartbeats from less than half of its region is isolated. The fault is likely
+its own, so it declares no member gone until the isolation ends.
 """
 
 import heapq
@@ -26,8 +27,8 @@
     MembershipSettings,
     MemberState,
     MemberUpdate,
+    OutgoingProbe,
     Probe,
-    ProbeOut,
     Reply,
 )
 from briarspur.coord.membertable import REACHABLE, MemberTable
@@ -37,10 +38,10 @@
 
 @dataclass(slots=True)
 class OpenProbe:
-    """A probe without a reply yet."""
+    """A probe that has had no reply yet."""
 
     receiver: str
-    via_left: int = 0
+    indirect_left: int = 0
 
 
 class Membership:
@@ -48,171 +49,180 @@
 
     Parameters
     ----------
-    me : Member
+    own_member : Member
         This process.
     rng : random.Random
-        Source of the order of probes.
-    number : int
-        First number of this process: seconds of the wall clock do, so that a new process of a seat
-        is newer than the last. If it is not, the first contact with others mends it.
+        Random source for the order of probes.
+    incarnation_number : int
+        Initial incarnation number of this process. The wall clock in seconds is suitable: it makes
+        a new process newer than the previous one with the same member id. If the number is too
+        low, it is corrected at the first contact with others.
     """
 
     def __init__(
         self,
-        me: Member,
+        own_member: Member,
         rng: random.Random,
         settings: MembershipSettings | None = None,
-        number: int = 0,
+        incarnation_number: int = 0,
         now: float = 0.0,
     ) -> None:
-        self.me = me
-        self.table = MemberTable(me, number, now)
-        self.seat_conflicts = 0
+        self.own_member = own_member
+        self.table = MemberTable(own_member, incarnation_number, now)
+        self.id_conflicts = 0
         self._rng = rng
         self._settings = settings or MembershipSettings()
-        self._heard_at = now
+        self._last_received_at = now
         self._probe_order: list[str] = []
         self._address_order: list[Address] = []
-        self._wanted: list[Address] = []
-        self._wanted_basis: tuple[frozenset[Address], int] = (frozenset(), 0)
+        self._addresses_to_probe: list[Address] = []
+        self._addresses_basis: tuple[frozenset[Address], int] = (frozenset(), 0)
         self._filler_order: list[str] = []
-        self._open_by_number: dict[int, OpenProbe] = {}
+        self._open_probe_by_number: dict[int, OpenProbe] = {}
         self._last_number = 0
 
     # The view.
 
     @property
     def view_version(self) -> int:
-        """Rises whenever a member comes, goes or begins to leave."""
+        """Increases whenever a member joins, goes or starts to leave."""
         return self.table.view_version
 
     @property
     def changed_at(self) -> float:
-        """When ``view_version`` last rose."""
+        """When ``view_version`` last increased."""
         return self.table.changed_at
 
     def live(self, region: str | None = None) -> list[Member]:
-        """Return the members that take new work, this one included, ordered by id."""
+        """Return the members that accept new work, including this one, ordered by id."""
         return self.table.live(region)
 
     def reachable(self, region: str | None = None) -> list[Member]:
-        """Return the live members and those that are leaving: these still answer."""
+        """Return the live members and the leaving ones, which still answer."""
         return self.table.reachable(region)
 
     def member(self, member_id: str) -> Member | None:
-        """Return a reachable member by id."""
+        """Return the reachable member with an id, None if there is none."""
         return self.table.member(member_id)
 
     def by_incarnation(self, incarnation: str) -> Member | None:
-        """Return the reachable member that is this very process, None if it is gone or unknown."""
+        """Return the reachable member with an incarnation, None if it is gone or unknown."""
         return self.table.by_incarnation(incarnation)
 
     def state(self, member_id: str) -> MemberState | None:
-        """Return what is thought of a member; None if nothing is known."""
+        """Return the state of a member, None if it is unknown."""
         return self.table.state(member_id)
 
     def isolated(self, now: float) -> bool:
-        """Return whether this member hears less than half of its region, or nobody at all."""
-        is_silent = now - self._heard_at > self._settings.suspicion
-        # Of two, each would wait for the other for ever; of more, all others rarely die at once.
-        return (is_silent and self.table.others() > 1) or self.table.hears_too_few()
+        """Return whether heartbeats arrive from less than half of the region, or from nobody."""
+        is_silent = now - self._last_received_at > self._settings.suspicion_timeout
+        # With only two members, the survivor of a crash would never declare the other gone. With
+        # more members, it is rare that all others fail at once.
+        return (is_silent and self.table.count_others() > 1) or self.table.sees_minority()
 
     def has_contact(self) -> bool:
         """Return whether the VM list was read or another member is known."""
         return self.table.has_list or len(self.table.record_by_id) > 1
 
-    def unheard(self) -> int:
-        """Return how many listed addresses no known member has."""
-        return sum(self.table.at(address) is None for address in self.table.listed)
+    def count_unknown_addresses(self) -> int:
+        """Return the number of listed addresses at which no member is known."""
+        return sum(self.table.id_at(address) is None for address in self.table.listed)
 
-    def learn_all(self, updates: Iterable[MemberUpdate], now: float) -> None:
-        """Take every fact of another member, at the start of this process.
+    def load_snapshot(self, updates: Iterable[MemberUpdate], now: float) -> None:
+        """Apply all updates that another member has, at the start of this process.
 
-        They are old news to all others, so they aren't passed on as new: in a large fleet that
-        would crowd out the one fact that is new, that this process has begun.
+        All others know these updates already, so they aren't queued to be sent. In a large fleet
+        they would delay the only new update, which is that this process has started.
         """
-        before = set(self.table.fresh_ids)
-        self.learn(updates, now)
-        for member_id in self.table.fresh_ids.keys() - before:
-            del self.table.fresh_ids[member_id]
+        before = set(self.table.pending_ids)
+        self.apply(updates, now)
+        for member_id in self.table.pending_ids.keys() - before:
+            del self.table.pending_ids[member_id]
 
-    def candidates(self, addresses: Iterable[Address], now: float) -> None:
-        """Take a reading of the VM list; members it lacks are dropped only as said above."""
-        self.table.candidates(addresses, now)
+    def set_listed_addresses(self, addresses: Iterable[Address], now: float) -> None:
+        """Set the addresses of the VM list; other members are dropped only as described above."""
+        self.table.set_listed_addresses(addresses, now)
 
-    def updates(self) -> tuple[MemberUpdate, ...]:
-        """Return every fact, for a process that has just begun."""
+    def snapshot(self) -> tuple[MemberUpdate, ...]:
+        """Return all updates, for a process that has just started."""
         return tuple(record.update for record in self.table.record_by_id.values())
 
     # Events.
 
-    def tick(self, now: float) -> list[ProbeOut]:
-        """Do what is due and return the probes of this period."""
-        self._end_suspicions(now)
-        self.table.forget(self._settings.forget, self._settings.list_patience, now)
+    def tick(self, now: float) -> list[OutgoingProbe]:
+        """Expire suspicions and old updates, and return the probes of this period."""
+        self._expire_suspicions(now)
+        self.table.drop_expired(self._settings.gone_retention, self._settings.unlisted_timeout, now)
         probes = [self._probe_member(), self._probe_address()]
         return [probe for probe in probes if probe is not None]
 
     def on_probe(self, probe: Probe, now: float) -> tuple[MemberUpdate, ...]:
-        """Learn from a probe; return the facts for its reply."""
-        self._heard_at = now
-        self.learn(probe.updates, now)
+        """Apply the updates of a received probe; return the updates for its reply."""
+        self._last_received_at = now
+        self.apply(probe.updates, now)
         return self._piggyback(probe.sender)
 
-    def on_reply(self, reply: Reply, now: float) -> list[ProbeOut]:
-        """Learn from the reply to a probe; return probes that are due now."""
-        self._heard_at = now
-        self.learn(reply.updates, now)
+    def on_reply(self, reply: Reply, now: float) -> list[OutgoingProbe]:
+        """Process the reply to a probe; return probes to send now."""
+        self._last_received_at = now
+        self.apply(reply.updates, now)
         if not reply.acknowledged:
             return self.on_timeout(reply.number, now)
-        self._open_by_number.pop(reply.number, None)
+        self._open_probe_by_number.pop(reply.number, None)
         return []
 
-    def on_timeout(self, number: int, now: float) -> list[ProbeOut]:
-        """Take note that a probe got no reply; return probes through others."""
-        probe = self._open_by_number.get(number)
+    def on_timeout(self, number: int, now: float) -> list[OutgoingProbe]:
+        """Process the timeout of a probe; return indirect probes to send now."""
+        probe = self._open_probe_by_number.get(number)
         if probe is None:
             return []
-        if probe.via_left == 0:
-            helpers = self._helpers(probe.receiver) if probe.receiver else []
-            if helpers:
-                probe.via_left = len(helpers)
-                return [self._probe_via(number, probe, helper) for helper in helpers]
+        if probe.indirect_left == 0:
+            probers = self._choose_probers(probe.receiver) if probe.receiver else []
+            if probers:
+                probe.indirect_left = len(probers)
+                return [self._probe_indirectly(number, probe, prober) for prober in probers]
         else:
-            probe.via_left -= 1
-            if probe.via_left > 0:
+            probe.indirect_left -= 1
+            if probe.indirect_left > 0:
                 return []
-        del self._open_by_number[number]
+        del self._open_probe_by_number[number]
         self._suspect(probe.receiver, now)
         return []
 
-    def learn(self, updates: Iterable[MemberUpdate], now: float) -> None:
-        """Take facts from another member."""
+    def apply(self, updates: Iterable[MemberUpdate], now: float) -> None:
+        """Apply updates from another member."""
         for update in updates:
-            self._learn(update, now)
+            self._apply(update, now)
 
     def leave(self, now: float) -> None:
-        """Say that this process takes no new work; it still answers."""
-        mine = self.table.mine
-        self.table.set(replace(mine, number=mine.number + 1, state=MemberState.LEAVING), now)
+        """Advertise that this process accepts no new work; it still answers."""
+        own_update = self.table.own_update
+        self.table.set(
+            replace(
+                own_update,
+                incarnation_number=own_update.incarnation_number + 1,
+                state=MemberState.LEAVING,
+            ),
+            now,
+        )
 
-    def probes_of_region(self) -> list[ProbeOut]:
-        """Return a probe of every other reachable member of the own region."""
-        members = self.reachable(self.me.region)
+    def probes_of_region(self) -> list[OutgoingProbe]:
+        """Return a probe of every other reachable member of this member's region."""
+        members = self.reachable(self.own_member.region)
         return [
             self._probe(member.address, member.member_id)
             for member in members
-            if member.member_id != self.me.member_id
+            if member.member_id != self.own_member.member_id
         ]
 
     # Probing.
 
-    def _probe_member(self) -> ProbeOut | None:
-        """Return a probe of the next member, each in its turn."""
+    def _probe_member(self) -> OutgoingProbe | None:
+        """Return a probe of the next member, in rounds of random order."""
         while True:
             if not self._probe_order:
                 self._probe_order = [m.member_id for m in self.table.members(REACHABLE, None)]
-                self._probe_order.remove(self.me.member_id)
+                self._probe_order.remove(self.own_member.member_id)
                 self._rng.shuffle(self._probe_order)
                 if not self._probe_order:
                     return None
@@ -220,80 +230,82 @@
             if member is not None:
                 return self._probe(member.address, member.member_id)
 
-    def _probe_address(self) -> ProbeOut | None:
-        """Return a probe of the next listed address that no member here has."""
+    def _probe_address(self) -> OutgoingProbe | None:
+        """Return a probe of the next address at which no reachable member is known."""
         if not self._address_order:
-            self._address_order = self._wanted_addresses()
+            self._address_order = self._find_addresses_to_probe()
             self._rng.shuffle(self._address_order)
         while self._address_order:
             address = self._address_order.pop()
-            if self._is_new(address):
+            if self._has_no_member(address):
                 return self._probe(address, "")
         return None
 
-    def _wanted_addresses(self) -> list[Address]:
-        """Return the addresses to try, worked out anew only when the list or the view changed."""
+    def _find_addresses_to_probe(self) -> list[Address]:
+        """Return the addresses to probe; recomputed only if the VM list or the view has changed."""
         basis = (self.table.listed, self.table.view_version)
-        if basis[0] is not self._wanted_basis[0] or basis[1] != self._wanted_basis[1]:
+        if basis[0] is not self._addresses_basis[0] or basis[1] != self._addresses_basis[1]:
             gone = {
                 self.table.record_by_id[member_id].update.member.address
                 for member_id in self.table.gone_ids - self.table.unlisted_ids
             }
-            wanted = [a for a in self.table.listed | gone if self._is_new(a)]
-            self._wanted = sorted(wanted, key=lambda a: (a.host, a.port))
-            self._wanted_basis = basis
-        return list(self._wanted)
+            addresses = [a for a in self.table.listed | gone if self._has_no_member(a)]
+            self._addresses_to_probe = sorted(addresses, key=lambda a: (a.host, a.port))
+            self._addresses_basis = basis
+        return list(self._addresses_to_probe)
 
-    def _is_new(self, address: Address) -> bool:
-        member_id = self.table.at(address)
+    def _has_no_member(self, address: Address) -> bool:
+        member_id = self.table.id_at(address)
         return member_id is None or self.member(member_id) is None
 
-    def _probe(self, address: Address, receiver: str) -> ProbeOut:
+    def _probe(self, address: Address, receiver: str) -> OutgoingProbe:
         self._last_number += 1
-        self._open_by_number[self._last_number] = OpenProbe(receiver)
-        # A member thought gone that answers must hear so, or it could not refute it.
-        updates = self._piggyback(receiver or self.table.at(address) or "")
-        return ProbeOut(self._last_number, address, receiver, False, updates)
+        self._open_probe_by_number[self._last_number] = OpenProbe(receiver)
+        # A member that is considered gone must receive this update, or it couldn't refute it.
+        updates = self._piggyback(receiver or self.table.id_at(address) or "")
+        return OutgoingProbe(self._last_number, address, receiver, False, updates)
 
-    def _probe_via(self, number: int, probe: OpenProbe, helper: Member) -> ProbeOut:
-        updates = self._piggyback(helper.member_id)
-        return ProbeOut(number, helper.address, probe.receiver, True, updates)
+    def _probe_indirectly(self, number: int, probe: OpenProbe, prober: Member) -> OutgoingProbe:
+        updates = self._piggyback(prober.member_id)
+        return OutgoingProbe(number, prober.address, probe.receiver, True, updates)
 
-    def _helpers(self, receiver: str) -> list[Member]:
-        able = [
+    def _choose_probers(self, receiver: str) -> list[Member]:
+        alive = [
             member
             for member in self.table.members((MemberState.ALIVE,), None)
-            if member.member_id not in (receiver, self.me.member_id)
+            if member.member_id not in (receiver, self.own_member.member_id)
         ]
-        return self._rng.sample(able, min(self._settings.helpers, len(able)))
+        return self._rng.sample(alive, min(self._settings.indirect_probes, len(alive)))
 
-    # Facts.
+    # Updates.
 
     def _piggyback(self, receiver: str) -> tuple[MemberUpdate, ...]:
-        """Return the facts for one message: new ones by fewest sendings, then others in turn.
+        """Return the updates for one message: new ones, least often sent first, then others.
 
-        What is thought of the receiver goes first, so that it can refute a suspicion at once.
+        The receiver's own state goes first, so that it can refute a suspicion at once.
         """
-        chosen: dict[str, None] = {self.me.member_id: None}
+        chosen: dict[str, None] = {self.own_member.member_id: None}
         known = self.table.record_by_id.get(receiver)
         if known is not None and known.update.state is not MemberState.ALIVE:
             chosen[receiver] = None
         records = self.table.record_by_id
-        room = self._settings.updates - len(chosen)
+        free_count = self._settings.max_updates - len(chosen)
         for member_id in heapq.nsmallest(
-            room, self.table.fresh_ids, key=lambda member_id: records[member_id].sendings
+            free_count, self.table.pending_ids, key=lambda member_id: records[member_id].times_sent
         ):
             chosen[member_id] = None
-        while len(chosen) < min(self._settings.updates, len(self.table.record_by_id)):
+        while len(chosen) < min(self._settings.max_updates, len(self.table.record_by_id)):
             chosen[self._next_filler()] = None
-        limit = math.ceil(self._settings.resend * math.log2(len(self.table.record_by_id) + 1))
+        limit = math.ceil(
+            self._settings.resend_factor * math.log2(len(self.table.record_by_id) + 1)
+        )
         for member_id in chosen:
             record = self.table.record_by_id[member_id]
-            record.sendings += 1
-            if record.sendings >= limit:
-                self.table.fresh_ids.pop(member_id, None)
+            record.times_sent += 1
+            if record.times_sent >= limit:
+                self.table.pending_ids.pop(member_id, None)
         invariants.check(
-            "membership.bounded-message", len(chosen) <= self._settings.updates, chosen
+            "membership.bounded-message", len(chosen) <= self._settings.max_updates, chosen
         )
         return tuple(self.table.record_by_id[member_id].update for member_id in chosen)
 
@@ -306,32 +318,39 @@
             if member_id in self.table.record_by_id:
                 return member_id
 
-    def _learn(self, update: MemberUpdate, now: float) -> None:
+    def _apply(self, update: MemberUpdate, now: float) -> None:
         member_id = update.member.member_id
-        if member_id == self.me.member_id:
+        if member_id == self.own_member.member_id:
             self._refute(update, now)
             return
-        if self.table.is_struck(update.member):
+        if self.table.is_blocked(update.member):
             return
         record = self.table.record_by_id.get(member_id)
         if record is None:
-            # A member that is gone, or was forgotten, need not be remembered anew.
+            # An unknown member that is gone, for instance one that was dropped, isn't stored.
             if update.state is not MemberState.GONE:
                 self.table.set(update, now)
         elif update.replaces(record.update):
             self.table.set(update, now)
 
     def _refute(self, update: MemberUpdate, now: float) -> None:
-        """Raise the own number above a fact about this seat that this process did not state."""
-        mine = self.table.mine
-        if update.member.incarnation == self.me.incarnation:
-            if not update.replaces(mine):
+        """Raise the own incarnation number above an update that this process did not issue."""
+        own_update = self.table.own_update
+        if update.member.incarnation == self.own_member.incarnation:
+            if not update.replaces(own_update):
                 return
-        elif update.number < mine.number:
+        elif update.incarnation_number < own_update.incarnation_number:
             return
         elif update.state is not MemberState.GONE:
-            self.seat_conflicts += 1
-        self.table.set(replace(mine, number=max(mine.number, update.number) + 1), now)
+            self.id_conflicts += 1
+        self.table.set(
+            replace(
+                own_update,
+                incarnation_number=max(own_update.incarnation_number, update.incarnation_number)
+                + 1,
+            ),
+            now,
+        )
 
     def _suspect(self, member_id: str, now: float) -> None:
         record = self.table.record_by_id.get(member_id)
@@ -342,12 +361,12 @@
         elif record.update.state is MemberState.ALIVE:
             self.table.set(replace(record.update, state=MemberState.SUSPECT), now)
 
-    def _end_suspicions(self, now: float) -> None:
-        """Declare suspects gone whose time is up, unless the fault is likely here."""
+    def _expire_suspicions(self, now: float) -> None:
+        """Declare expired suspects gone, unless the fault is likely local."""
         due = [
             member_id
             for member_id in self.table.suspect_ids
-            if now - self.table.record_by_id[member_id].since >= self._settings.suspicion
+            if now - self.table.record_by_id[member_id].since >= self._settings.suspicion_timeout
         ]
         if not due or self.isolated(now):
             return
--- a/briarspur/entry.py
+++ b/briarspur/entry.py
@@ -244,7 +244,7 @@
         )
         number, now = int(self._clock.wall()), self._clock.monotonic()
         return Peering(
-            membership=Membership(me, self._rng, number=number, now=now),
+            membership=Membership(me, self._rng, incarnation_number=number, now=now),
             core=core,
             follow=self._follow,
             client=self._peers,
--- a/briarspur/peering.py
+++ b/briarspur/peering.py
@@ -14,7 +14,7 @@
 from briarspur.coord.address import Address
 from briarspur.coord.errors import StoreError
 from briarspur.coord.joining import Joining
-from briarspur.coord.members import MemberState, Probe, ProbeOut, Reply
+from briarspur.coord.members import MemberState, OutgoingProbe, Probe, Reply
 from briarspur.coord.membership import Membership
 from briarspur.coord.store import ABSENT
 from briarspur.core import Core
@@ -106,7 +106,7 @@
 
     @property
     def _me(self) -> str:
-        return self._membership.me.member_id
+        return self._membership.own_member.member_id
 
     # What others ask; see PeerHandler
 
@@ -142,7 +142,7 @@
         if name == LOAD_NAME:
             return ObjectCopy(LOAD_NAME, newer_than + 1, b"", self._load())
         if name == MEMBERS_NAME:
-            value = updates_to_wire(self._membership.updates())
+            value = updates_to_wire(self._membership.snapshot())
             return ObjectCopy(MEMBERS_NAME, newer_than + 1, b"", value)
         return self._follow.copy(name, newer_than)
 
@@ -174,7 +174,7 @@
             try:
                 listed = await self._vms.read()
                 addresses = [Address(vm.host, vm.peer_port) for vm in listed]
-                self._membership.candidates(addresses, self._clock())
+                self._membership.set_listed_addresses(addresses, self._clock())
                 if not self._knows_all:
                     await self._learn_all(addresses)
                 self.show_view()
@@ -193,7 +193,9 @@
         Probes carry a few facts each. Of many entries a new one would learn so slowly that it took
         itself for the owner of targets that others have, long after it began to serve.
         """
-        others = [address for address in addresses if address != self._membership.me.address]
+        others = [
+            address for address in addresses if address != self._membership.own_member.address
+        ]
         for address in self._rng.sample(others, min(MEMBERS_ASKED, len(others))):
             await self._learn_from(address)
             if self._knows_all:
@@ -205,7 +207,7 @@
         try:
             copy = await self._client.fetch(address, MEMBERS_NAME, ABSENT)
             if copy is not None:
-                self._membership.learn_all(updates_from_wire(copy.value), self._clock())
+                self._membership.load_snapshot(updates_from_wire(copy.value), self._clock())
                 self._knows_all = True
                 self.show_view()
         except (PeerError, ValueError) as error:
@@ -228,7 +230,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _announce(self, probes: list[ProbeOut]) -> None:
+    async def _announce(self, probes: list[OutgoingProbe]) -> None:
         """Send probes and wait for the replies, but no longer than one period."""
         sending = [asyncio.ensure_future(self._probe(probe)) for probe in probes]
         if sending:
@@ -253,7 +255,7 @@
     def _has_joined(self) -> bool:
         if not self._joined:
             membership = self._membership
-            unheard, has_contact = membership.unheard(), membership.has_contact()
+            unheard, has_contact = membership.count_unknown_addresses(), membership.has_contact()
             self._joined = self._joining.joined(has_contact, unheard, self._clock())
         return self._joined
 
@@ -298,13 +300,13 @@
         if member is not None and not self._knows_all and not self._is_learning:
             self._start(self._learn_from(member.address))
 
-    def _send(self, probes: list[ProbeOut]) -> None:
+    def _send(self, probes: list[OutgoingProbe]) -> None:
         for probe in probes:
             self._start(self._probe(probe))
 
-    async def _probe(self, probe: ProbeOut) -> None:
+    async def _probe(self, probe: OutgoingProbe) -> None:
         asked = PeerProbe(self._me, probe.receiver, probe.number, self._gossip(probe.updates))
-        call = self._client.probe_via if probe.via else self._client.probe
+        call = self._client.probe_via if probe.is_indirect else self._client.probe
         try:
             reply = await call(probe.address, asked)
         except PeerError:
--- a/briarspur/peerwire.py
+++ b/briarspur/peerwire.py
@@ -163,7 +163,7 @@
     return pb.MemberUpdate(
         entry_id=member.member_id,
         incarnation=member.incarnation,
-        incarnation_number=update.number,
+        incarnation_number=update.incarnation_number,
         state=pb.MemberState.Name(int(update.state)),
         region=member.region,
         zone=member.zone,
--- a/tests/coord/test_membership.py
+++ b/tests/coord/test_membership.py
@@ -19,13 +19,13 @@
     MembershipSettings,
     MemberState,
     MemberUpdate,
+    OutgoingProbe,
     Probe,
-    ProbeOut,
     Reply,
 )
 from briarspur.coord.membership import Membership
 
-SETTINGS = MembershipSettings(forget=40.0)
+SETTINGS = MembershipSettings(gone_retention=40.0)
 REGIONS = ["north", "south"]
 
 
@@ -37,48 +37,48 @@
 
 
 class Network:
-    """Members joined by calls that may be cut; each period ticks every running member once."""
+    """Members whose links may be cut; each period ticks every running member once."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
         self.random = random.Random(seed)
         self.now = 0.0
-        self.begun = 0
+        self.started = 0
         self.members: dict[int, Membership] = {}
         self.cut: set[frozenset[int]] = set()
         self.loss = 0.0
         for number in range(count):
-            self.begin(number)
+            self.start(number)
         self.listed = {member(number).address for number in range(count)}
         self.read_list()
 
-    def begin(self, number: int) -> None:
-        self.begun += 1
-        rng = random.Random(self.begun)
-        me = member(number, self.begun)
-        self.members[number] = Membership(me, rng, SETTINGS, self.begun, self.now)
+    def start(self, number: int) -> None:
+        self.started += 1
+        rng = random.Random(self.started)
+        own_member = member(number, self.started)
+        self.members[number] = Membership(own_member, rng, SETTINGS, self.started, self.now)
         if len(self.members) > 1:
             self.read_list()
 
     def read_list(self) -> None:
         for each in self.members.values():
-            each.candidates(getattr(self, "listed", ()), self.now)
+            each.set_listed_addresses(getattr(self, "listed", ()), self.now)
 
     def reaches(self, one: int, other: int) -> bool:
         running = one in self.members and other in self.members
         lost = self.random.random() < self.loss
         return running and frozenset((one, other)) not in self.cut and not lost
 
-    def call(self, sender: int, out: ProbeOut) -> Reply | None:
+    def call(self, sender: int, out: OutgoingProbe) -> Reply | None:
         receiver = out.address.port - 1_000
         if not self.reaches(sender, receiver):
             return None
         there = self.members[receiver]
         updates = there.on_probe(Probe(self.name(sender), out.updates), self.now)
         acknowledged = True
-        if out.via:
+        if out.is_indirect:
             target = there.member(out.receiver)
             acknowledged = target is not None and self.reaches(receiver, target.peer_port - 1_000)
-        return Reply(there.me.member_id, out.number, acknowledged, updates)
+        return Reply(there.own_member.member_id, out.number, acknowledged, updates)
 
     def name(self, number: int) -> str:
         return f"entry-{number}"
@@ -105,7 +105,7 @@
 
 
 class MembershipTest(unittest.TestCase):
-    """Heartbeats, suspicion, the VM list."""
+    """Heartbeats, suspicion and the VM list."""
 
     def setUp(self) -> None:
         invariants.strict = True
@@ -113,40 +113,41 @@
         self.network.run(12)
         self.all = tuple(f"entry-{n}" for n in range(8))
 
-    def test_members_find_each_other_by_the_list(self) -> None:
+    def test_members_find_each_other_through_the_vm_list(self) -> None:
         self.assertEqual(self.network.views(), {self.all})
 
-    def test_a_killed_member_leaves_the_view_though_it_is_listed(self) -> None:
+    def test_a_killed_member_leaves_the_view_although_it_is_listed(self) -> None:
         del self.network.members[3]
         self.network.run(15)
         self.assertEqual(self.network.views(), {tuple(n for n in self.all if n != "entry-3")})
 
-    def test_a_new_process_of_a_seat_replaces_the_old_one(self) -> None:
-        old = self.network.members[3].me.incarnation
-        self.network.begin(3)
+    def test_a_new_process_replaces_the_old_one_with_the_same_id(self) -> None:
+        old = self.network.members[3].own_member.incarnation
+        self.network.start(3)
         self.network.run(20)
         self.assertEqual(self.network.views(), {self.all})
-        new = self.network.members[3].me.incarnation
+        new = self.network.members[3].own_member.incarnation
         for each in self.network.members.values():
             self.assertIsNone(each.by_incarnation(old))
             self.assertIsNotNone(each.by_incarnation(new))
 
-    def test_a_new_process_with_a_lower_number_is_heard(self) -> None:
-        """A replaced entry gets no callers for ten minutes: its clock was behind the old one's.
+    def test_a_new_process_with_a_lower_incarnation_number_is_accepted(self) -> None:
+        """Guard against a replaced entry that gets no callers for ten minutes.
 
-        The others hold a fact about its seat with a higher number than its own first one.
+        Its clock was behind that of the old process, so the others had an update for its id with a
+        higher incarnation number than its initial one.
         """
-        self.network.begun = -50
-        self.network.begin(3)
+        self.network.started = -50
+        self.network.start(3)
         self.network.run(20)
-        new = self.network.members[3].me.incarnation
+        new = self.network.members[3].own_member.incarnation
         for each in self.network.members.values():
             self.assertIsNotNone(each.by_incarnation(new))
 
-    def test_a_member_the_list_lacks_stays_while_its_heartbeats_come(self) -> None:
-        """Half of the entries leave every look-up at once, though they serve well.
+    def test_an_unlisted_member_stays_while_its_heartbeats_arrive(self) -> None:
+        """Guard against healthy entries that are dropped from every look-up at once.
 
-        The VM list lagged, or returned a part only.
+        The VM list lagged, or the response contained only a part of it.
         """
         self.network.listed = {member(n).address for n in range(4)}
         self.network.read_list()
@@ -156,22 +157,23 @@
         self.assertNotIn("entry-7", [m.member_id for m in self.network.members[0].live()])
 
     def test_an_isolated_member_declares_nobody_gone(self) -> None:
-        """Each side of a cut takes over the servers of the other: they get twice their slots' work.
+        """Guard against servers that get twice the work of their slots during a network partition.
 
-        A member that hears nobody of its region cannot tell their death from its own cut.
+        Each side would take over the servers of the other. A member that receives nothing from its
+        region can't distinguish their failure from its own isolation.
         """
         self.network.cut = {frozenset((0, n)) for n in range(1, 8)}
         self.network.run(30)
-        lonely = self.network.members[0]
-        self.assertTrue(lonely.isolated(self.network.now))
-        self.assertEqual(len(lonely.live()), 8)
+        isolated = self.network.members[0]
+        self.assertTrue(isolated.isolated(self.network.now))
+        self.assertEqual(len(isolated.live()), 8)
         self.assertEqual(len(self.network.members[1].live()), 7)
         self.network.cut.clear()
         self.network.run(30)
-        self.assertFalse(lonely.isolated(self.network.now))
+        self.assertFalse(isolated.isolated(self.network.now))
         self.assertEqual(self.network.views(), {self.all})
 
-    def test_a_cut_between_regions_heals(self) -> None:
+    def test_views_recover_after_a_partition_between_regions(self) -> None:
         self.network.cut = {frozenset((a, b)) for a in range(0, 8, 2) for b in range(1, 8, 2)}
         self.network.run(25)
         self.assertEqual({len(view) for view in self.network.views()}, {4})
@@ -179,10 +181,10 @@
         self.network.run(40)
         self.assertEqual(self.network.views(), {self.all})
 
-    def test_one_broken_link_makes_no_suspect(self) -> None:
-        """Two entries that serve well drop each other, again and again.
+    def test_one_broken_link_causes_no_suspicion(self) -> None:
+        """Guard against two healthy entries that repeatedly drop each other.
 
-        The link between these two is broken; all others reach both.
+        Only the link between the two is broken; all others reach both.
         """
         self.network.cut = {frozenset((0, 1))}
         for _ in range(60):
@@ -192,28 +194,29 @@
             }
             self.assertEqual(states, {MemberState.ALIVE})
 
-    def test_a_member_thought_gone_hears_so_when_it_calls(self) -> None:
-        """An entry that came back after a cut gets no callers for minutes.
+    def test_a_member_considered_gone_learns_it_when_it_probes(self) -> None:
+        """Guard against an entry that gets no callers for minutes after a partition.
 
-        It cannot refute what it does not hear, and hears it only when chance picks the fact.
+        It can't refute an update that it hasn't received, and without a rule it receives the update
+        only by chance.
         """
         here = Membership(member(0), random.Random(1), SETTINGS)
         alive = [MemberUpdate(member(n), 1, MemberState.ALIVE) for n in range(1, 40)]
-        here.learn([*alive, MemberUpdate(member(5), 1, MemberState.GONE)], 0.0)
+        here.apply([*alive, MemberUpdate(member(5), 1, MemberState.GONE)], 0.0)
         for _ in range(50):
             here.on_probe(Probe("entry-7", ()), 1.0)
         for _ in range(5):
-            told = here.on_probe(Probe("entry-5", ()), 1.0)
-            self.assertIn(MemberUpdate(member(5), 1, MemberState.GONE), told)
+            updates = here.on_probe(Probe("entry-5", ()), 1.0)
+            self.assertIn(MemberUpdate(member(5), 1, MemberState.GONE), updates)
 
-    def test_leaving_is_told_and_leaving_members_still_answer(self) -> None:
+    def test_leaving_is_advertised_and_leaving_members_still_answer(self) -> None:
         self.network.members[5].leave(self.network.now)
         self.network.run(6)
         for each in self.network.members.values():
             self.assertNotIn("entry-5", [m.member_id for m in each.live()])
             self.assertIsNotNone(each.member("entry-5"))
 
-    def test_a_lossy_network_loses_nobody(self) -> None:
+    def test_message_loss_removes_no_member(self) -> None:
         self.network.loss = 0.15
         for _ in range(60):
             self.network.run(1)
@@ -223,38 +226,38 @@
         self.network.run(20)
         self.assertEqual(self.network.views(), {self.all})
 
-    def test_a_view_changes_its_version_only_with_its_members(self) -> None:
+    def test_the_view_version_changes_only_with_the_members(self) -> None:
         versions = [each.view_version for each in self.network.members.values()]
         self.network.run(20)
         self.assertEqual(versions, [each.view_version for each in self.network.members.values()])
 
-    def test_facts_taken_at_the_start_are_not_passed_on_as_new(self) -> None:
-        """A fresh entry of a large fleet gets no callers for minutes.
+    def test_updates_loaded_at_the_start_are_not_queued(self) -> None:
+        """Guard against a new entry of a large fleet that gets no callers for minutes.
 
-        The news that it has begun waits behind a thousand facts that all others know.
+        The update that it has started would be queued behind a thousand that all others know.
         """
         fresh = Membership(member(0), random.Random(1), SETTINGS)
-        facts = [MemberUpdate(member(n), 1, MemberState.ALIVE) for n in range(1, 1_000)]
-        fresh.learn_all(facts, 0.0)
+        updates = [MemberUpdate(member(n), 1, MemberState.ALIVE) for n in range(1, 1_000)]
+        fresh.load_snapshot(updates, 0.0)
         self.assertEqual(len(fresh.live()), 1_000)
-        self.assertEqual(list(fresh.table.fresh_ids), ["entry-0"])
+        self.assertEqual(list(fresh.table.pending_ids), ["entry-0"])
 
-    def test_messages_do_not_grow_with_the_members(self) -> None:
+    def test_messages_do_not_grow_with_the_number_of_members(self) -> None:
         big = Membership(member(0), random.Random(1), SETTINGS)
-        facts = [MemberUpdate(member(n), 1, MemberState.ALIVE) for n in range(1, 1_700)]
-        big.learn(facts, 0.0)
-        big.candidates({Address("127.0.0.1", 1_000 + n) for n in range(1_700)}, 0.0)
+        updates = [MemberUpdate(member(n), 1, MemberState.ALIVE) for n in range(1, 1_700)]
+        big.apply(updates, 0.0)
+        big.set_listed_addresses({Address("127.0.0.1", 1_000 + n) for n in range(1_700)}, 0.0)
         for period in range(50):
             probes = big.tick(float(period))
             self.assertLessEqual(len(probes), 2)
-            self.assertLessEqual(max(len(probe.updates) for probe in probes), SETTINGS.updates)
+            self.assertLessEqual(max(len(probe.updates) for probe in probes), SETTINGS.max_updates)
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Members are killed, replaced, cut off and misjudged by a list; then the faults end.
+    """Members are killed, replaced and cut off, and the VM list is wrong; then the faults end.
 
-    A user's look-up answers entries that are dead, or leaves out live ones, long after a fault. It
-    would come from a fact that cannot be refuted, or that old facts revive.
+    Guards against look-ups that return dead entries, or omit live ones, long after a fault, because
+    an update can't be refuted or is revived by old ones.
     """
 
     @initialize(seed=st.integers(0, 1_000))
@@ -274,7 +277,7 @@
 
     @rule(number=st.integers(0, 5))
     def replace(self, number: int) -> None:
-        self.network.begin(number)
+        self.network.start(number)
 
     @rule(one=st.integers(0, 5), other=st.integers(0, 5))
     def cut_or_mend(self, one: int, other: int) -> None:
@@ -288,7 +291,7 @@
     @rule(numbers=st.sets(st.integers(0, 5)))
     def misread_list(self, numbers: set[int]) -> None:
         for each in self.network.members.values():
-            each.candidates({member(n).address for n in numbers}, self.network.now)
+            each.set_listed_addresses({member(n).address for n in numbers}, self.network.now)
 
     def teardown(self) -> None:
         if not hasattr(self, "network"):
@@ -305,7 +308,7 @@
 class MembershipMachineTest(unittest.TestCase):
     """Run the machine with a fixed seed."""
 
-    def test_views_agree_with_the_truth_once_faults_end(self) -> None:
+    def test_views_are_correct_once_faults_end(self) -> None:
         run_state_machine_as_test(
             MembershipMachine,
             settings=settings(
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -78,7 +78,7 @@
             rng=random.Random(1),
             times=PeeringTimes(),
         )
-        wire.peering_by_port[membership.me.peer_port] = made
+        wire.peering_by_port[membership.own_member.peer_port] = made
         return made
 
     async def test_all_members_are_fetched_on_the_first_contact(self) -> None:
@@ -91,12 +91,12 @@
         newcomer = Membership(member(MEMBERS), random.Random(2))
         for number in range(1, MEMBERS):
             other = Membership(member(number), random.Random(3))
-            old.learn(other.updates(), 0.0)
+            old.apply(other.snapshot(), 0.0)
         self.peering(old, wire)
         fresh = self.peering(newcomer, wire)
         wire.failures = 1
         for number in (1, 2):
-            probe = PeerProbe("entry-0", "", number, Gossip(updates=old.updates()[:1]))
+            probe = PeerProbe("entry-0", "", number, Gossip(updates=old.snapshot()[:1]))
             fresh.probed(probe)
             for _ in range(5):
                 await asyncio.sleep(0)
--- a/tools/capacityfleet.py
+++ b/tools/capacityfleet.py
@@ -97,8 +97,8 @@
 
 def full_membership(number: int, everyone: list[Member]) -> Membership:
     """Return a member that knows all others."""
-    one = Membership(everyone[number], random.Random(number), number=1)
-    one.candidates([m.address for m in everyone], 0.0)
+    one = Membership(everyone[number], random.Random(number), incarnation_number=1)
+    one.set_listed_addresses([m.address for m in everyone], 0.0)
     return one
 
 
@@ -106,10 +106,10 @@
     """Run a fleet in one process, with every message in its wire form, and return its mean cost."""
     everyone = [member(number) for number in range(size)]
     members = [full_membership(number, everyone) for number in range(size)]
-    facts = [one.updates()[0] for one in members]
+    facts = [one.snapshot()[0] for one in members]
     for one in members:
-        one.learn(facts, 0.0)
-    by_address = {one.me.address: one for one in members}
+        one.apply(facts, 0.0)
+    by_address = {one.own_member.address: one for one in members}
     now = 0.0
     for _ in range(WARM_PERIODS):
         now += 1.0
@@ -129,13 +129,13 @@
         for probe in one.tick(now):
             other = by_address[probe.address]
             gossip = Gossip(probe.updates, OBJECTS, NEWS)
-            asked = PeerProbe(one.me.member_id, probe.receiver, probe.number, gossip)
+            asked = PeerProbe(one.own_member.member_id, probe.receiver, probe.number, gossip)
             wire = probe_to_wire(asked)
             data = wire.SerializeToString()
             came = probe_from_wire(type(wire).FromString(data))
             updates = other.on_probe(Probe(came.sender, came.gossip.updates), now)
             reply = PeerReply(
-                other.me.member_id, probe.number, True, Gossip(updates, OBJECTS, NEWS)
+                other.own_member.member_id, probe.number, True, Gossip(updates, OBJECTS, NEWS)
             )
             back = reply_to_wire(reply)
             answer = back.SerializeToString()
@@ -149,11 +149,11 @@
     """Return the memory of one member that knows ``size`` others."""
     everyone = [member(number) for number in range(size)]
     tracemalloc.start()
-    one = Membership(member(0), random.Random(0), number=1)
+    one = Membership(member(0), random.Random(0), incarnation_number=1)
     for number in range(1, size):
-        other = Membership(member(number), random.Random(0), number=1)
-        one.learn(other.updates(), 0.0)
-    one.candidates([m.address for m in everyone], 0.0)
+        other = Membership(member(number), random.Random(0), incarnation_number=1)
+        one.apply(other.snapshot(), 0.0)
+    one.set_listed_addresses([m.address for m in everyone], 0.0)
     used = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return used
--- a/tools/limitcost.py
+++ b/tools/limitcost.py
@@ -57,12 +57,12 @@
     members = fleet(count)
     tracemalloc.start()
     view = Membership(members[0], random.Random(1))
-    view.learn([MemberUpdate(m, 1, MemberState.ALIVE) for m in members[1:]], 0.0)
-    view.candidates([m.address for m in members], 0.0)
+    view.apply([MemberUpdate(m, 1, MemberState.ALIVE) for m in members[1:]], 0.0)
+    view.set_listed_addresses([m.address for m in members], 0.0)
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     # A fact is new until it was sent often enough; what is measured is the usual period after that.
-    view.table.fresh_ids.clear()
+    view.table.pending_ids.clear()
     clock = iter(range(1, 10**9))
 
     def period() -> None:
