--- a/briarspur/coord/joining.py
+++ b/briarspur/coord/joining.py
@@ -1,45 +1,47 @@
-"""When a process that has just begun knows enough of the others to act as a member."""
+"""Decides when a new process knows enough other members to act as a member."""
 
-__all__ = ["PERIODS", "Joining"]
+__all__ = ["MAX_WAIT_PERIODS", "Joining"]
 
-PERIODS = 5
-"""Probe periods after the VM list was read during which listed addresses are waited for."""
+MAX_WAIT_PERIODS = 5
+"""Number of probe periods to wait for listed addresses; they count from the first contact."""
 
 
 class Joining:
-    """Holds a new process back until it has heard from the members that the VM list names.
+    """Delays a new process until it knows the members at all addresses of the VM list.
 
-    Without it a new process sees itself alone at first, so by every rule that derives owners from
-    the view it owns all targets of its region, beside their true owners, and its look-ups name
-    itself alone: targets get twice their slots, and callers have no second entry to turn to.
+    Without the delay, the view of a new process contains only itself at first. By every rule that
+    derives owners from the view, it would own all targets of its region in addition to their actual
+    owners, and its look-ups would return only itself. Targets would get twice their slots, and
+    callers would have no alternative entry.
 
-    An address that is listed may be dead, so the wait ends after ``PERIODS`` periods. It begins
-    with the list: a process that could not read it, and that nobody probed, knows nothing.
+    A listed address may be dead, so the wait ends after ``MAX_WAIT_PERIODS`` periods. It starts
+    with the VM list or the first contact: a process that couldn't read the list, and that no member
+    has probed, knows nothing.
 
     Parameters
     ----------
     period : float
-        Seconds between two probes.
+        Probe period in seconds.
     """
 
     def __init__(self, period: float) -> None:
-        self._patience = PERIODS * period
-        self._began_at: float | None = None
+        self._max_wait = MAX_WAIT_PERIODS * period
+        self._started_at: float | None = None
         self._joined = False
 
-    def joined(self, has_list: bool, unheard: int, now: float) -> bool:
-        """Return whether the process may act; once True, always True.
+    def joined(self, has_contact: bool, unknown_addresses: int, now: float) -> bool:
+        """Return whether the process may act as a member; once True, always True.
 
         Parameters
         ----------
-        has_list : bool
-            The VM list was read, or another member has made contact.
-        unheard : int
-            Listed addresses from which no member is known.
+        has_contact : bool
+            Whether the VM list was read or another member is known.
+        unknown_addresses : int
+            Number of listed addresses at which no member is known.
         """
-        if self._joined or not has_list:
+        if self._joined or not has_contact:
             return self._joined
-        if self._began_at is None:
-            self._began_at = now
-        self._joined = unheard == 0 or now - self._began_at >= self._patience
+        if self._started_at is None:
+            self._started_at = now
+        self._joined = unknown_addresses == 0 or now - self._started_at >= self._max_wait
         return self._joined
--- a/tests/coord/test_joining.py
+++ b/tests/coord/test_joining.py
@@ -1,27 +1,29 @@
-"""A new process waits until it has heard from the others."""
+"""Tests of the wait of a new process until it knows the other members."""
 
 import unittest
 
-from briarspur.coord.joining import PERIODS, Joining
+from briarspur.coord.joining import MAX_WAIT_PERIODS, Joining
 
 
 class JoiningTest(unittest.TestCase):
     """When a process may act as a member."""
 
-    def test_a_new_process_is_not_alone_because_it_has_not_asked_yet(self) -> None:
-        """A VM is replaced, and for a second its region's targets get twice their slots.
+    def test_a_new_process_waits_until_all_listed_addresses_are_known(self) -> None:
+        """Guard against targets that get twice their slots for a second after a VM is replaced.
 
-        The new entry reads the policy, sees only itself in its view, owns every target by the rule
-        and dispatches, while the entries that own them do the same.
+        The new entry reads the policy, has only itself in its view, derives that it owns every
+        target and dispatches, while the actual owners do the same.
         """
         joining = Joining(period=1.0)
-        self.assertFalse(joining.joined(has_list=False, unheard=0, now=100.0))
-        self.assertFalse(joining.joined(has_list=True, unheard=2, now=200.0))
-        self.assertFalse(joining.joined(has_list=True, unheard=1, now=200.5))
-        self.assertTrue(joining.joined(has_list=True, unheard=0, now=201.0))
-        self.assertTrue(joining.joined(has_list=True, unheard=3, now=202.0))
+        self.assertFalse(joining.joined(has_contact=False, unknown_addresses=0, now=100.0))
+        self.assertFalse(joining.joined(has_contact=True, unknown_addresses=2, now=200.0))
+        self.assertFalse(joining.joined(has_contact=True, unknown_addresses=1, now=200.5))
+        self.assertTrue(joining.joined(has_contact=True, unknown_addresses=0, now=201.0))
+        self.assertTrue(joining.joined(has_contact=True, unknown_addresses=3, now=202.0))
 
-    def test_a_dead_address_on_the_list_is_not_waited_for_for_ever(self) -> None:
+    def test_the_wait_for_a_dead_address_ends(self) -> None:
         joining = Joining(period=1.0)
-        self.assertFalse(joining.joined(has_list=True, unheard=1, now=200.0))
-        self.assertTrue(joining.joined(has_list=True, unheard=1, now=200.0 + PERIODS))
+        self.assertFalse(joining.joined(has_contact=True, unknown_addresses=1, now=200.0))
+        self.assertTrue(
+            joining.joined(has_contact=True, unknown_addresses=1, now=200.0 + MAX_WAIT_PERIODS)
+        )
