--- a/briarspur/coord/address.py
+++ b/briarspur/coord/address.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where a process takes calls."""
+    """Host and port on which a process accepts connections."""
 
     host: str
     port: int
