--- a/briarspur/coord/follower.py
+++ b/briarspur/coord/follower.py
@@ -1,8 +1,8 @@
-"""A versioned follower: the newest valid version of one object, from whichever source it comes.
+"""A versioned follower: keeps the newest valid version of one object, from any source.
 
-Reads of the store may be old, copies from other processes late, and a watch may repeat itself. The
-follower takes a version only if it is higher than the one in force, so that a configuration once
-in force never reverts in this process.
+Reads of the store may be stale, copies from other processes may be late, and a watch may return the
+same version again. The follower accepts a version only if it is higher than the one in force, so
+the configuration of this process never reverts to an older version.
 """
 
 import hashlib
@@ -16,21 +16,21 @@
 from briarspur.coord.invariants import invariants
 from briarspur.coord.store import ABSENT, StoredObject
 
-__all__ = ["Follower", "Taken"]
+__all__ = ["Follower", "OfferResult"]
 
 T = TypeVar("T")
 
-REJECTED_KEPT = 16
+MAX_REJECTED_VERSIONS = 16
 
 
-class Taken(Enum):
-    """What became of a version that was offered."""
+class OfferResult(Enum):
+    """Result of offering a version to a follower."""
 
     IN_FORCE = "in force now"
     SAME = "already in force"
     OLD = "older than what is in force"
     REJECTED = "not valid"
-    CLASH = "another value under the version in force"
+    CONFLICT = "another value under the version in force"
 
 
 class Follower(Generic[T]):
@@ -40,31 +40,31 @@
     ----------
     name : str
         Name of the object.
-    read : callable
-        Returns what a version means, or why it is not valid.
+    parse : callable
+        Returns the parsed value of a version, or the reason why it is not valid.
     on_change : callable or None
-        Called with each value that comes into force.
+        Called with each new value that is put in force.
 
     Attributes
     ----------
-    counts : Counter of Taken
-        How often each thing became of a version.
+    counts : Counter of OfferResult
+        Number of offers by result.
     """
 
     def __init__(
         self,
         name: str,
-        read: Callable[[StoredObject], Result[T, str]],
+        parse: Callable[[StoredObject], Result[T, str]],
         on_change: Callable[[T], None] | None = None,
     ) -> None:
         self.name = name
         self.value: T | None = None
         self.stored: StoredObject | None = None
         self.digest = b""
-        self.counts: Counter[Taken] = Counter()
-        self._read = read
+        self.counts: Counter[OfferResult] = Counter()
+        self._parse = parse
         self._on_change = on_change
-        self._faults_by_version: OrderedDict[int, str] = OrderedDict()
+        self._reason_by_version: OrderedDict[int, str] = OrderedDict()
 
     @property
     def version(self) -> int:
@@ -73,50 +73,50 @@
 
     @property
     def seen_version(self) -> int:
-        """The highest version seen, valid or not: a watch asks for newer ones than this."""
-        return max([self.version, *self._faults_by_version])
+        """The highest version seen, valid or not; a watch requests versions above this one."""
+        return max([self.version, *self._reason_by_version])
 
-    def fault(self, version: int) -> str | None:
-        """Return why a version was rejected, None if it was not."""
-        return self._faults_by_version.get(version)
+    def rejection_reason(self, version: int) -> str | None:
+        """Return the reason why a version was rejected, None if it wasn't."""
+        return self._reason_by_version.get(version)
 
     def wants(self, version: int) -> bool:
-        """Whether this version, seen elsewhere, is worth fetching."""
-        return version > self.version and version not in self._faults_by_version
+        """Return whether to fetch this version from another process that has it."""
+        return version > self.version and version not in self._reason_by_version
 
-    def take(self, stored: StoredObject) -> Taken:
-        """Take a version from any source; return what became of it."""
-        taken = self._take(stored)
-        self.counts[taken] += 1
-        return taken
+    def offer(self, stored: StoredObject) -> OfferResult:
+        """Offer a version from any source, and put it in force if it is valid and newer."""
+        offer_result = self._offer(stored)
+        self.counts[offer_result] += 1
+        return offer_result
 
-    def _take(self, stored: StoredObject) -> Taken:
-        # An old read put in force would revert a configuration that callers already rely on.
+    def _offer(self, stored: StoredObject) -> OfferResult:
+        # Putting a stale read in force would revert a configuration that callers already rely on.
         if stored.version < self.version:
-            return Taken.OLD
+            return OfferResult.OLD
         digest = hashlib.sha256(stored.value).digest()
         if stored.version == self.version:
-            same = digest == self.digest
-            invariants.check("follower.one_value_per_version", same, (self.name, stored.version))
-            return Taken.SAME if same else Taken.CLASH
-        if stored.version in self._faults_by_version:
-            return Taken.REJECTED
-        result = self._read(stored)
+            is_same = digest == self.digest
+            invariants.check("follower.one_value_per_version", is_same, (self.name, stored.version))
+            return OfferResult.SAME if is_same else OfferResult.CONFLICT
+        if stored.version in self._reason_by_version:
+            return OfferResult.REJECTED
+        result = self._parse(stored)
         if result.is_error():
             return self.reject(stored.version, result.error)
-        rises = stored.version > self.version
-        invariants.check("follower.version_only_rises", rises, (self.name, stored.version))
+        is_higher = stored.version > self.version
+        invariants.check("follower.version_only_rises", is_higher, (self.name, stored.version))
         self.stored = stored
         self.digest = digest
         self.value = result.ok
         if self._on_change is not None:
             self._on_change(result.ok)
-        return Taken.IN_FORCE
-
-    def reject(self, version: int, fault: str) -> Taken:
-        """Keep a version out, so that it is neither taken nor wanted again."""
-        # Remembered, or it would be fetched again with each heartbeat of whoever has it.
-        self._faults_by_version[version] = fault
-        while len(self._faults_by_version) > REJECTED_KEPT:
-            self._faults_by_version.popitem(last=False)
-        return Taken.REJECTED
+        return OfferResult.IN_FORCE
+
+    def reject(self, version: int, reason: str) -> OfferResult:
+        """Reject a version, so that it is neither put in force nor fetched again."""
+        # Without this record, it would be fetched again at each heartbeat of a member that has it.
+        self._reason_by_version[version] = reason
+        while len(self._reason_by_version) > MAX_REJECTED_VERSIONS:
+            self._reason_by_version.popitem(last=False)
+        return OfferResult.REJECTED
--- a/briarspur/follow.py
+++ b/briarspur/follow.py
@@ -9,7 +9,7 @@
 
 from briarspur import logs
 from briarspur.coord.errors import InvariantError, StoreError, StoreThrottledError
-from briarspur.coord.follower import Follower, Taken
+from briarspur.coord.follower import Follower, OfferResult
 from briarspur.coord.store import ObjectStore, StoredObject
 from briarspur.errors import PeerError
 from briarspur.gossip import ObjectCopy, ObjectVersion
@@ -172,7 +172,7 @@
                 continue
             failures = 0
             self._readiness_by_name[follower.name].store_failed = False
-            brought = found is not None and self._take(follower, found) is Taken.IN_FORCE
+            brought = found is not None and self._take(follower, found) is OfferResult.IN_FORCE
             last = None if brought else turn.kind
             if not brought:
                 await self._sleep(IDLE_PAUSE)
@@ -212,9 +212,9 @@
         if isinstance(error, StoreThrottledError):
             await self._sleep(error.retry_after)
 
-    def _take(self, follower: Follower[Any], stored: StoredObject) -> Taken:
+    def _take(self, follower: Follower[Any], stored: StoredObject) -> OfferResult:
         try:
-            taken = follower.take(stored)
+            taken = follower.offer(stored)
         except InvariantError:
             raise
         except Exception as error:
@@ -222,9 +222,9 @@
             fault = repr(error)
             logs.event("internal-error", logging.ERROR, object=stored.name, error=fault)
             return follower.reject(stored.version, fault)
-        if taken is Taken.OLD:
+        if taken is OfferResult.OLD:
             self._metrics.count("old_versions_ignored", stored.name)
-        if taken is not Taken.IN_FORCE:
+        if taken is not OfferResult.IN_FORCE:
             return taken
         wanted = self._wanted_by_name[follower.name]
         for peer in [peer for peer, version in wanted.items() if not follower.wants(version)]:
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -11,7 +11,7 @@
 
 from expression import Error, Ok, Result
 
-from briarspur.coord.follower import Follower, Taken
+from briarspur.coord.follower import Follower, OfferResult
 from briarspur.coord.invariants import invariants
 from briarspur.coord.memorystore import MemoryStore
 from briarspur.coord.store import StoredObject
@@ -157,7 +157,7 @@
             self.offer(version, b"v%d" % version)
         self.assertEqual(self.taken, [1, 3])
         self.assertEqual(self.follower.version, 3)
-        self.assertEqual(self.follower.counts[Taken.OLD], 2)
+        self.assertEqual(self.follower.counts[OfferResult.OLD], 2)
 
     def test_invalid_version_is_not_handed_on(self) -> None:
         self.offer(1, b"good")
