--- a/briarspur/coord/membership.py
+++ b/briarspur/coord/membership.py
@@ -85,7 +85,7 @@
 
     @property
     def view_version(self) -> int:
-        """Increases whenever a member joins, goes or starts to leave."""
+        """Increases whenever a member joins, is gone or starts to leave."""
         return self.table.view_version
 
     @property
--- a/briarspur/coord/membertable.py
+++ b/briarspur/coord/membertable.py
@@ -37,8 +37,8 @@
     Attributes
     ----------
     view_version : int
-        Increases whenever a member joins, goes or starts to leave, so that callers can cache what
-        they derive from the view.
+        Increases whenever a member joins, is gone or starts to leave, so that callers can cache
+        what they derive from the view.
     changed_at : float
         When ``view_version`` last increased.
     """
