--- a/briarspur/gateway/news.py
+++ b/briarspur/gateway/news.py
@@ -1,4 +1,4 @@
-"""Sends and receives load news, one datagram each."""
+"""Sends and receives load news, one message per datagram."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -10,35 +10,35 @@
 from briarspur import logs
 from briarspur.gateway import gateway_pb2 as pb
 from briarspur.gateway.loadview import News, SeenEntries
-from briarspur.gateway.newsdelay import NewsDelays, sending_clock
+from briarspur.gateway.newsdelay import NewsDelays, boottime_clock
 from briarspur.gateway.replica import FOLLOWED, Kind
 from briarspur.gateway.servernotice import NO_LIMIT, ToldLimit, ToldNotices
 
 __all__ = ["NewsPort", "news_from_wire", "news_to_wire"]
 
-MS = 1_000
-LONGEST_AGE_S = 3_600.0
-LONGEST_AGE_MS = 3_600_000
-"""An age beyond an hour is told as an hour."""
-AGE_STEP = 0.02
-MOST_AGE_STEPS = 255
-"""Seconds in a step of the ages that take one byte each, and the most steps: 5.1 s."""
-MILLI = 1_000
-LIFTED = 0
-"""Limits of servers in thousandths of a request per second, and what stands for none."""
+MS_PER_S = 1_000
+MAX_AGE_S = 3_600.0
+MAX_AGE_MS = 3_600_000
+"""Ages above an hour are sent as an hour."""
+AGE_STEP_S = 0.02
+MAX_AGE_STEPS = 255
+"""Some ages are sent as a number of steps in one byte, so they are at most 5.1 s."""
+MILLI_PER_UNIT = 1_000
+NO_LIMIT_MILLI = 0
+"""Limits of servers are sent in thousandths of a request per second; this value means no limit."""
 
 
 class NewsPort(DatagramProtocol):
-    """The datagram port; datagrams fit here better than calls, since a late one is worthless.
+    """The UDP port for news; datagrams are preferred to calls, since late news are worthless.
 
     Parameters
     ----------
     on_news : callable
-        Takes the news of another entry; the age of its knowledge counts the wait on the way.
+        Called with the news of another entry, whose ages include the delay in transit.
     """
 
     def __init__(
-        self, on_news: Callable[[News], None], clock: Callable[[], float] = sending_clock
+        self, on_news: Callable[[News], None], clock: Callable[[], float] = boottime_clock
     ) -> None:
         self._on_news = on_news
         self._clock = clock
@@ -58,7 +58,7 @@
                 logs.event("news-not-sent", logging.DEBUG, to=address[0], error=repr(error))
 
     def datagramReceived(self, datagram: bytes, addr: object) -> None:  # noqa: N802
-        """Take a datagram."""
+        """Handle a datagram, as :class:`DatagramProtocol`."""
         try:
             news, sent_at = news_from_wire(datagram)
         except (DecodeError, ValueError) as error:
@@ -72,7 +72,7 @@
 
 
 def news_to_wire(news: News, sent_at: float) -> bytes:
-    """Return the wire form of news that are sent at a moment of the sender's clock, in seconds."""
+    """Encode news; ``sent_at`` is the time on the sender's clock, in seconds."""
     message = pb.LoadNews(
         entry_id=news.entry_id,
         started=news.started,
@@ -83,9 +83,9 @@
         warmed_targets=[number for number, _ in news.warmed],
         warmed_keys=[key for _, key in news.warmed],
         revisions=[news.revisions.get(kind, 0) for kind in FOLLOWED],
-        store_age_ms=min(LONGEST_AGE_MS, round(min(news.store_age, LONGEST_AGE_S) * MS)),
+        store_age_ms=min(MAX_AGE_MS, round(min(news.store_age, MAX_AGE_S) * MS_PER_S)),
         group=news.group,
-        sent_ms=round(sent_at * MS),
+        sent_ms=round(sent_at * MS_PER_S),
         seen=news.seen.numbers,
         seen_ages=_ages_to_wire(news.seen.ages),
         leaving_seen=sorted(news.seen.leaving.intersection(news.seen.numbers)),
@@ -104,14 +104,14 @@
 
 
 def news_from_wire(data: bytes) -> tuple[News, float]:
-    """Return the news of a datagram, and when they were sent by the sender's clock, in seconds.
+    """Decode a datagram; return the news and their time on the sender's clock, in seconds.
 
-    The moment is 0 if the sender is of a version that does not tell it.
+    The time is 0 if the sender's version does not send it.
 
     Raises
     ------
     DecodeError, ValueError
-        It is malformed.
+        The datagram is malformed.
     """
     message = pb.LoadNews.FromString(data)
     if not message.entry_id:
@@ -137,34 +137,40 @@
         counts_by_number=dict(zip(message.targets, message.counts, strict=True)),
         warmed=tuple(zip(message.warmed_targets, message.warmed_keys, strict=True)),
         revisions=dict(zip(Kind, message.revisions, strict=False)),
-        store_age=message.store_age_ms / MS,
+        store_age=message.store_age_ms / MS_PER_S,
         group=message.group,
         part=message.part,
         parts=parts,
         included=dict(zip(message.included, message.included_sequences, strict=True)),
         seen=SeenEntries(
             tuple(message.seen),
-            tuple(age * AGE_STEP for age in message.seen_ages),
+            tuple(age * AGE_STEP_S for age in message.seen_ages),
             frozenset(message.leaving_seen),
         ),
         notices=ToldNotices(
             tuple(
-                ToldLimit(number, _limit_from_wire(milli), age * AGE_STEP, held * AGE_STEP, hops)
+                ToldLimit(
+                    number, _limit_from_wire(milli), age * AGE_STEP_S, held * AGE_STEP_S, hops
+                )
                 for number, milli, age, held, hops in limits
             ),
             tuple(message.leaving_targets),
         ),
     )
-    return news, message.sent_ms / MS
+    return news, message.sent_ms / MS_PER_S
 
 
 def _ages_to_wire(ages: Iterable[float]) -> bytes:
-    return bytes(min(MOST_AGE_STEPS, round(age / AGE_STEP)) for age in ages)
+    return bytes(min(MAX_AGE_STEPS, round(age / AGE_STEP_S)) for age in ages)
 
 
 def _limit_to_wire(per_s: float) -> int:
-    return LIFTED if per_s == NO_LIMIT else max(LIFTED + 1, round(per_s * MILLI))
+    return (
+        NO_LIMIT_MILLI
+        if per_s == NO_LIMIT
+        else max(NO_LIMIT_MILLI + 1, round(per_s * MILLI_PER_UNIT))
+    )
 
 
 def _limit_from_wire(milli: int) -> float:
-    return NO_LIMIT if milli == LIFTED else milli / MILLI
+    return NO_LIMIT if milli == NO_LIMIT_MILLI else milli / MILLI_PER_UNIT
--- a/briarspur/gateway/newsdelay.py
+++ b/briarspur/gateway/newsdelay.py
@@ -1,78 +1,79 @@
-"""How long news waited on their way, beyond the usual: one-way delay variation."""
+"""The extra transit delay of news messages: one-way delay variation."""
 
 import time
 from dataclasses import dataclass
 
-__all__ = ["NewsDelays", "sending_clock"]
+__all__ = ["NewsDelays", "boottime_clock"]
 
-WINDOW = 30.0
-"""Seconds after which the smallest offset is measured anew: long enough to hold a quick message,
-short enough to forget clocks that have drifted apart or a way that has become longer."""
-FORGOTTEN = 300.0
-"""Seconds without news after which a sender is forgotten."""
+WINDOW_S = 30.0
+"""Time over which the minimum offset is taken: long enough to contain a message that was not
+delayed, short enough to follow clocks that drift apart or a network path that gets longer."""
+SENDER_LIFETIME_S = 300.0
+"""Time without news after which a sender is dropped."""
 
 
-def sending_clock() -> float:
-    """Return seconds that never jump and go on while the machine is suspended."""
+def boottime_clock() -> float:
+    """Return the seconds of a clock that never jumps and keeps running during a suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclass(slots=True)
 class _Offsets:
-    """The smallest differences between a receiver's clock and a sender's, in seconds.
+    """The minimum differences between the receiver's clock and a sender's, in seconds.
 
     Attributes
     ----------
-    smallest, smallest_before : float
-        Of this window and of the one before it.
+    minimum, previous_minimum : float
+        The minimum of the current window and of the previous one.
     """
 
     started: int
-    window_began: float
-    smallest: float
-    smallest_before: float
+    window_started_at: float
+    minimum: float
+    previous_minimum: float
 
 
 class NewsDelays:
-    """Measures delays against the quickest news of each sender.
+    """Measures the delay of messages relative to the fastest message of each sender.
 
-    A message tells how old its sender's knowledge is, but not how long it waited in a queue: of a
-    full link, or of a process that is busy or was stopped. An entry that had stood still for 3 s
-    took what had come meanwhile as fresh, and a departure of 3.3 s ago as one of 0.6 s. The two
-    clocks differ by a fixed amount, so the excess over the smallest difference is the wait.
+    A message contains the age of its sender's data, but not how long it waited in a queue: that of
+    a full link, or of a process that is busy or was stopped. Without the delay, an entry that was
+    stopped for 3 s took the messages received meanwhile for fresh, and a departure from 3.3 s ago
+    for one from 0.6 s ago. The two clocks differ by a fixed amount, so the excess over the minimum
+    difference is the delay.
     """
 
     def __init__(self) -> None:
         self._offsets_by_sender: dict[str, _Offsets] = {}
 
     def delay(self, sender: str, started: int, sent_at: float, now: float) -> float:
-        """Return for how many seconds longer than the quickest one a message was on its way.
+        """Return by how many seconds a message was slower than the sender's fastest one.
 
         Parameters
         ----------
         started : int
-            Names the sender's process; another one may run on a machine with another clock.
+            Identifies the sender's process; a later one may run on a machine with another clock.
         sent_at : float
-            The sender's clock when it sent the message, seconds.
+            Time on the sender's clock when it sent the message, in seconds.
         now : float
-            The receiver's clock, seconds.
+            Time on the receiver's clock, in seconds.
         """
         offset = now - sent_at
         known = self._offsets_by_sender.get(sender)
         if known is None or known.started != started:
-            self._forget_silent(now)
+            self._drop_silent(now)
             self._offsets_by_sender[sender] = _Offsets(started, now, offset, offset)
             return 0.0
-        if now - known.window_began > WINDOW:
-            known.window_began = now
-            known.smallest_before, known.smallest = known.smallest, offset
-        known.smallest = min(known.smallest, offset)
-        return offset - min(known.smallest, known.smallest_before)
-
-    def _forget_silent(self, now: float) -> None:
-        """Drop the senders that are gone: VMs are replaced, and their names do not come back."""
+        if now - known.window_started_at > WINDOW_S:
+            known.window_started_at = now
+            known.previous_minimum, known.minimum = known.minimum, offset
+        known.minimum = min(known.minimum, offset)
+        return offset - min(known.minimum, known.previous_minimum)
+
+    def _drop_silent(self, now: float) -> None:
+        """Drop senders that are gone: VMs are replaced, and their names are not reused."""
         self._offsets_by_sender = {
             sender: known
             for sender, known in self._offsets_by_sender.items()
-            if now - known.window_began <= FORGOTTEN
+            if now - known.window_started_at <= SENDER_LIFETIME_S
         }
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -1,4 +1,4 @@
-"""Tests of the wire form of news."""
+"""Tests of the encoding of news."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 from briarspur.gateway import gateway_pb2 as pb
 from briarspur.gateway.loadview import News, SeenEntries
-from briarspur.gateway.news import AGE_STEP, NewsPort, news_from_wire, news_to_wire
+from briarspur.gateway.news import AGE_STEP_S, NewsPort, news_from_wire, news_to_wire
 from briarspur.gateway.replica import Kind
 from briarspur.gateway.servernotice import NO_LIMIT, ToldLimit, ToldNotices
 
@@ -31,35 +31,35 @@
 
 
 class WireTest(unittest.TestCase):
-    """What one entry sends, another one reads."""
+    """News are decoded as they were encoded."""
 
     @settings(max_examples=50, deadline=None, derandomize=True)
     @given(ANY_NEWS)
-    def test_both_ways(self, news: News) -> None:
+    def test_decoded_news_equal_the_encoded_ones(self, news: News) -> None:
         self.assertEqual(news, news_from_wire(news_to_wire(news, 1.0))[0])
 
-    def test_ages_are_told_in_steps_and_bounded(self) -> None:
+    def test_ages_are_sent_in_steps_and_bounded(self) -> None:
         seen = SeenEntries((1, 2, 3), (0.5, 0.0, 99.0), frozenset({2, 9}))
         read = news_from_wire(news_to_wire(News("e-1", 1, 1, False, {}, seen=seen), 1.0))[0].seen
         self.assertEqual((1, 2, 3), read.numbers)
-        self.assertEqual(frozenset({2}), read.leaving, "only those that are told of")
-        for told, age in zip((0.5, 0.0, 255 * AGE_STEP), read.ages, strict=True):
-            self.assertAlmostEqual(told, age)
+        self.assertEqual(frozenset({2}), read.leaving, "only entries that are also in numbers")
+        for sent, age in zip((0.5, 0.0, 255 * AGE_STEP_S), read.ages, strict=True):
+            self.assertAlmostEqual(sent, age)
 
-    def test_what_servers_say_is_told_with_its_age(self) -> None:
+    def test_notices_of_servers_are_sent_with_their_age(self) -> None:
         limits = (ToldLimit(1, 1.7, 0.1, 0.5), ToldLimit(2, NO_LIMIT, 0.0, 99.0))
         sent = News("e-1", 1, 1, False, {}, notices=ToldNotices(limits, (7, 9)))
         notices = news_from_wire(news_to_wire(sent, 1.0))[0].delayed(0.2).notices
         self.assertEqual((7, 9), notices.leaving)
         read = notices.limits
         self.assertEqual([(1, 1.7), (2, NO_LIMIT)], [(item.number, item.per_s) for item in read])
-        for told, age in zip((0.3, 0.2), (item.age for item in read), strict=True):
-            self.assertAlmostEqual(told, age)
+        for expected, age in zip((0.3, 0.2), (item.age for item in read), strict=True):
+            self.assertAlmostEqual(expected, age)
 
-    def test_what_contradicts_itself_is_counted_and_dropped(self) -> None:
-        """Guards against a process that fails on a datagram of a broken or foreign sender."""
-        heard: list[News] = []
-        port = NewsPort(heard.append, lambda: 0.0)
+    def test_malformed_datagrams_are_counted_and_dropped(self) -> None:
+        """Guards against a process that fails on a datagram from a faulty or foreign sender."""
+        received: list[News] = []
+        port = NewsPort(received.append, lambda: 0.0)
         for message in (
             pb.LoadNews(),
             pb.LoadNews(entry_id="e-1", part=3, parts=3),
@@ -70,5 +70,5 @@
         ):
             port.datagramReceived(message.SerializeToString(), None)
         port.datagramReceived(b"\xff\xff\xff", None)
-        self.assertEqual([], heard)
+        self.assertEqual([], received)
         self.assertEqual(7, port.malformed)
