--- a/briarspur/gateway/app.py
+++ b/briarspur/gateway/app.py
@@ -177,7 +177,7 @@
             self._tasks.append(asyncio.ensure_future(sync.run()))
         self._tasks.append(asyncio.ensure_future(self._warmth.run()))
         self._tasks.append(asyncio.ensure_future(self._records.write_own()))
-        self._tasks.append(asyncio.ensure_future(self._records.forget_gone()))
+        self._tasks.append(asyncio.ensure_future(self._records.delete_expired()))
         if self.me.peer_port:
             await self._pull_server.start(self.settings.host, self.me.peer_port)
         self._reactor.callLater(self.gossip.period(), self._send_news)
--- a/briarspur/gateway/entryrecord.py
+++ b/briarspur/gateway/entryrecord.py
@@ -1,4 +1,4 @@
-"""What an entry writes about itself to the store, so that others find it."""
+"""The record that an entry writes to the store so that other entries find it."""
 
 from dataclasses import dataclass
 from functools import lru_cache
@@ -12,24 +12,24 @@
 
 @lru_cache(maxsize=8_192)
 def process_number(entry_id: str, started: int) -> int:
-    """Return 32 bits that name one process of an entry in news, the same in every process."""
+    """Return the 32 bits that identify a process of an entry in news; the same on every entry."""
     return crc32(f"{entry_id}/{started}".encode())
 
 
 @dataclass(frozen=True, slots=True)
 class EntryRecord:
-    """One entry process.
+    """The record of one entry process.
 
     Attributes
     ----------
     started : int
-        Unix time of its start in milliseconds; a later record of the same entry replaces it.
+        Unix time of its start in milliseconds; a record with a later start replaces it.
     caller_port, news_port, peer_port : int
-        For callers (TCP), load news (UDP) and other entries' calls (TCP).
+        Ports for callers (TCP), load news (UDP) and calls from other entries (TCP).
     processor : float
-        What its VM's processor does, in cores.
+        Processing capacity of its VM, in cores.
     link_mbps : float
-        What its VM's link carries, in Mbit/s.
+        Capacity of its VM's link, in Mbit/s.
     """
 
     entry_id: str
@@ -45,5 +45,5 @@
 
     @property
     def number(self) -> int:
-        """What names this process in news."""
+        """The number that identifies this process in news."""
         return process_number(self.entry_id, self.started)
--- a/briarspur/gateway/entryrecords.py
+++ b/briarspur/gateway/entryrecords.py
@@ -1,4 +1,4 @@
-"""The records of entries in the store."""
+"""Maintains the records of entries in the store."""
 
 import asyncio
 import random
@@ -13,21 +13,21 @@
 
 __all__ = ["EntryRecords"]
 
-RECORD_RETRY = 0.5
-"""Seconds until a record that was not written is tried again."""
-FORGET_PERIOD = 60.0
-"""Seconds between two looks for entries that are gone."""
+WRITE_RETRY_S = 0.5
+"""Delay before a failed write of the own record is retried."""
+CLEANUP_PERIOD_S = 60.0
+"""Time between two searches for expired records."""
 
 
 class EntryRecords:
-    """Writes where this entry is, so that others find it, and deletes what has gone.
+    """Writes the record of this entry, and deletes those of entries that are gone.
 
     Parameters
     ----------
     is_reader : callable
-        Tells whether this entry follows the store, and so looks for entries that are gone.
+        Returns whether this entry follows the store; only such entries delete expired records.
     replica : Replica
-        This entry's copy of the records.
+        The local copy of the records.
     """
 
     def __init__(
@@ -49,21 +49,21 @@
         self._rng = rng
 
     async def write_own(self) -> None:
-        """Write this entry's record, however long that takes."""
-        me = self._fleet.own_record
-        value = self._codec.entry_value(me)
+        """Write this entry's record; retry until that succeeds."""
+        record = self._fleet.own_record
+        value = self._codec.entry_value(record)
         while True:
             try:
-                await self._source.write(Kind.ENTRIES, me.entry_id, value)
+                await self._source.write(Kind.ENTRIES, record.entry_id, value)
                 return
             except StoreError as error:
                 logs.event("record-not-written", error=str(error))
-                await asyncio.sleep(RECORD_RETRY * self._rng.uniform(0.7, 1.3))
+                await asyncio.sleep(WRITE_RETRY_S * self._rng.uniform(0.7, 1.3))
 
-    async def forget_gone(self) -> None:
-        """Delete the records of entries that are gone, from time to time."""
+    async def delete_expired(self) -> None:
+        """Delete the records of entries that are gone, periodically until cancelled."""
         while True:
-            await asyncio.sleep(FORGET_PERIOD * self._rng.uniform(0.7, 1.3))
+            await asyncio.sleep(CLEANUP_PERIOD_S * self._rng.uniform(0.7, 1.3))
             if self._is_reader():
                 for entry_id in self._fleet.expired_ids(self._clock()):
                     await self._delete(entry_id)
--- a/briarspur/gateway/warmthkeeper.py
+++ b/briarspur/gateway/warmthkeeper.py
@@ -1,4 +1,4 @@
-"""Keeps in the store which objects are warm where."""
+"""Keeps a record in the store of which objects are warm on which servers."""
 
 import asyncio
 import logging
@@ -12,32 +12,33 @@
 from briarspur.gateway.objectsource import ObjectSource
 from briarspur.gateway.replica import Kind, StoredChange
 from briarspur.gateway.target import Target
-from briarspur.gateway.warmthrecord import decode_record, encode_record, record_of
+from briarspur.gateway.warmthrecord import build_record, decode_record, encode_record
 
 __all__ = ["RECORD_NAME", "WarmthKeeper"]
 
 RECORD_NAME = "latest"
-WRITE_PERIOD = 3.0
-"""Seconds between two looks at whether the record has changed. Most objects are made warm within
-some 10 s of a start; a call to the store is paid for."""
-LOAD_RETRY = 1.0
-"""Seconds between two tries to read the record while the store does not answer."""
-LONGEST_USE = 120.0
-"""Seconds after which a record tells nothing: other objects have taken the servers' memory."""
-MS = 1_000
+WRITE_PERIOD_S = 3.0
+"""Time between two checks whether the record has changed. Most objects are made warm within about
+10 s of a start; calls to the store are paid for."""
+LOAD_RETRY_S = 1.0
+"""Time between two attempts to read the record while the store does not respond."""
+MAX_RECORD_AGE_S = 120.0
+"""Age from which a record is useless: other objects have replaced these in the servers' memory."""
+MS_PER_S = 1_000
 
 
 class WarmthKeeper:
     """Reads the record once at the start; one entry of the fleet writes it.
 
-    When all entries are lost at once, the servers still have their objects at hand, but nobody
-    knows which. Entries that start then would send each object where its order says, and many a one
-    to a server that must take the cold time for it, on top of the requests that come back.
+    When all entries fail at once, the servers still have their objects in memory, but no entry
+    knows which. Without the record, entries that start would send each object to the first server
+    in its order of preference. Many of these servers would need a cold run for it, in addition to
+    the load of the requests that come back.
 
     Parameters
     ----------
     is_writer : callable
-        Tells whether it is this entry that writes.
+        Returns whether this entry is the one that writes.
     """
 
     def __init__(
@@ -47,24 +48,24 @@
         targets: Callable[[], Iterable[Target]],
         is_writer: Callable[[], bool],
         rng: random.Random,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self._source = source
         self._loads = loads
         self._targets = targets
         self._is_writer = is_writer
         self._rng = rng
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._written: tuple[tuple[int, int], ...] = ()
 
     async def run(self) -> None:
-        """Read the record, then write it whenever it has changed, until cancelled."""
-        # A record is never replaced before it was read: an entry that has just started knows
-        # little, and would take from the others what the record tells.
+        """Read the record, then write it when it has changed, until cancelled."""
+        # The record must be read before it is replaced: an entry that has just started knows few
+        # warm objects, and other entries would lose the rest of the record.
         while not await self._load():
-            await asyncio.sleep(LOAD_RETRY * self._rng.uniform(0.7, 1.3))
+            await asyncio.sleep(LOAD_RETRY_S * self._rng.uniform(0.7, 1.3))
         while True:
-            await asyncio.sleep(WRITE_PERIOD * self._rng.uniform(0.8, 1.2))
+            await asyncio.sleep(WRITE_PERIOD_S * self._rng.uniform(0.8, 1.2))
             if self._is_writer():
                 await self._write()
 
@@ -76,28 +77,28 @@
             return False
         for change in batch.changes:
             if change.name == RECORD_NAME:
-                self._take(change)
+                self._restore(change)
         return True
 
-    def _take(self, change: StoredChange) -> None:
+    def _restore(self, change: StoredChange) -> None:
         result = decode_record(change.value)
         if result.is_error():
             logs.event("warmth-skipped", logging.WARNING, reason=result.error)
             return
         record = result.ok
-        age = self._wall() - record.at_ms / MS
-        used = 0.0 <= age <= LONGEST_USE
-        if used:
+        age = self._wall_clock() - record.at_ms / MS_PER_S
+        is_valid = 0.0 <= age <= MAX_RECORD_AGE_S
+        if is_valid:
             self._loads.restore_warmed(record.pairs)
         logs.event(
             "warmth-read",
             pairs=len(record.pairs),
             age_s=f"{age:.1f}",
-            used="yes" if used else "no",
+            used="yes" if is_valid else "no",
         )
 
     async def _write(self) -> None:
-        record = record_of(self._targets(), round(self._wall() * MS))
+        record = build_record(self._targets(), round(self._wall_clock() * MS_PER_S))
         if record.pairs == self._written:
             return
         try:
--- a/briarspur/gateway/warmthrecord.py
+++ b/briarspur/gateway/warmthrecord.py
@@ -1,4 +1,4 @@
-"""Which objects are warm where, as it is kept in the store for entries that start."""
+"""The record in the store of which objects are warm on which servers, for entries that start."""
 
 import base64
 import binascii
@@ -12,10 +12,10 @@
 
 from briarspur.gateway.target import Target
 
-__all__ = ["MOST_PAIRS", "WarmthRecord", "decode_record", "encode_record", "record_of"]
+__all__ = ["MAX_PAIRS", "WarmthRecord", "build_record", "decode_record", "encode_record"]
 
-MOST_PAIRS = 4_000
-"""Pairs in one record, 43 kB: some 20 objects for each of 200 servers."""
+MAX_PAIRS = 4_000
+"""Pairs in one record, 43 kB: about 20 objects for each of 200 servers."""
 PAIR = struct.Struct(">II")
 
 
@@ -28,34 +28,36 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmthRecord:
-    """Pairs of a target's number and an object's key.
+    """The warm objects, as pairs of a target's number and an object's key.
 
     Attributes
     ----------
     at_ms : int
-        Unix time at which it was written, milliseconds.
+        Unix time of the write, in milliseconds.
     """
 
     at_ms: int
     pairs: tuple[tuple[int, int], ...]
 
 
-def record_of(targets: Iterable[Target], at_ms: int) -> WarmthRecord:
-    """Return what an entry knows, of each target the objects that ran there last."""
+def build_record(targets: Iterable[Target], at_ms: int) -> WarmthRecord:
+    """Return a record with the objects of each target that were used most recently."""
     targets = list(targets)
-    most = MOST_PAIRS // max(1, len(targets))
-    pairs = [(target.number, key) for target in targets for key in target.warmth.latest(most)]
+    max_objects = MAX_PAIRS // max(1, len(targets))
+    pairs = [
+        (target.number, key) for target in targets for key in target.warmth.latest(max_objects)
+    ]
     return WarmthRecord(at_ms, tuple(sorted(pairs)))
 
 
 def encode_record(record: WarmthRecord) -> dict[str, Any]:
-    """Return a record as it is stored."""
+    """Return the stored form of a record."""
     packed = b"".join(PAIR.pack(number, key) for number, key in record.pairs)
     return {"at_ms": record.at_ms, "pairs": base64.b64encode(packed).decode()}
 
 
 def decode_record(value: Any) -> Result[WarmthRecord, str]:
-    """Return the record of a stored value, or what is wrong with it."""
+    """Return the record in a stored value, or a description of the fault."""
     try:
         document = _Document.model_validate(value)
         packed = base64.b64decode(document.pairs, validate=True)
--- a/tests/gateway/test_warmthkeeper.py
+++ b/tests/gateway/test_warmthkeeper.py
@@ -1,4 +1,4 @@
-"""Tests of keeping in the store what is warm where."""
+"""Tests of the record of warm objects in the store."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 from briarspur.gateway import warmthkeeper
 from briarspur.gateway.replica import Batch, Kind, StoredChange
 from briarspur.gateway.steering import Steering
-from briarspur.gateway.warmthkeeper import LONGEST_USE, RECORD_NAME, WarmthKeeper
+from briarspur.gateway.warmthkeeper import MAX_RECORD_AGE_S, RECORD_NAME, WarmthKeeper
 from briarspur.gateway.warmthrecord import WarmthRecord, decode_record, encode_record
 from tests.gateway.samples import registration, steering
 from tests.loop import LoopTestCase, eventually
@@ -20,11 +20,11 @@
 
 
 class RecordStore:
-    """Holds one record; may be away."""
+    """A store with one record; may be unavailable."""
 
     def __init__(self, value: Any = None) -> None:
         self.value = value
-        self.away = False
+        self.is_away = False
         self.lists = 0
         self.writes = 0
 
@@ -32,8 +32,8 @@
         assert kind is Kind.WARMTH
         self.lists += 1
         self._check()
-        known = self.value is not None
-        return Batch(1, (StoredChange(RECORD_NAME, 1, self.value),) if known else (), True)
+        has_record = self.value is not None
+        return Batch(1, (StoredChange(RECORD_NAME, 1, self.value),) if has_record else (), True)
 
     async def watch(self, kind: Kind, revision: int, wait: float) -> Batch:
         raise AssertionError("the record is not watched")
@@ -47,7 +47,7 @@
         raise AssertionError("the record is not deleted")
 
     def _check(self) -> None:
-        if self.away:
+        if self.is_away:
             raise StoreUnavailableError("away")
 
 
@@ -56,12 +56,12 @@
     return encode_record(WarmthRecord(round(at_s * 1_000), pairs))
 
 
-@patch.object(warmthkeeper, "WRITE_PERIOD", 0.01)
-@patch.object(warmthkeeper, "LOAD_RETRY", 0.01)
+@patch.object(warmthkeeper, "WRITE_PERIOD_S", 0.01)
+@patch.object(warmthkeeper, "LOAD_RETRY_S", 0.01)
 class KeeperTest(LoopTestCase):
-    """All entries are lost at once; the servers still have their objects at hand."""
+    """All entries restart at once while the servers still have their objects in memory."""
 
-    def play(
+    def run_keeper(
         self,
         store: RecordStore,
         made: Steering,
@@ -85,11 +85,11 @@
 
         self.run_on_loop(run())
 
-    def test_an_entry_that_starts_knows_what_is_warm(self) -> None:
-        """All entries lose their power and come back 1.2 s later, with the callers.
+    def test_a_starting_entry_knows_the_warm_objects(self) -> None:
+        """Guards against cold runs after all entries lost power and came back 1.2 s later.
 
-        The servers had not been touched, but each entry sent each object where its order said:
-        87 of 234 requests of the third and fourth second were late.
+        The servers kept their objects, but each entry sent each object to the first server in its
+        order of preference: 87 of 234 requests in the third and fourth second were late.
         """
         made = steering(2)
         store = RecordStore(record(made))
@@ -98,9 +98,9 @@
             await eventually(lambda: KEY in made.targets.get("t-0").warmth)  # type: ignore
             self.assertEqual(1, store.lists)
 
-        self.play(store, made, work)
+        self.run_keeper(store, made, work)
 
-    def test_it_is_used_for_servers_that_become_known_later(self) -> None:
+    def test_the_record_applies_to_servers_that_register_later(self) -> None:
         later = steering(1)
         made = steering(0)
         store = RecordStore(record(later))
@@ -111,9 +111,9 @@
             made.targets.registered(registration("t-0"), 0.0)
             self.assertIn(KEY, made.targets.get("t-0").warmth)  # type: ignore
 
-        self.play(store, made, work)
+        self.run_keeper(store, made, work)
 
-    def test_another_incarnation_or_a_cold_one_knows_nothing(self) -> None:
+    def test_the_record_does_not_apply_to_another_incarnation_or_a_cold_server(self) -> None:
         later = steering(2)
         made = steering(0)
         store = RecordStore(record(later))
@@ -126,20 +126,20 @@
             for name in ("t-0", "t-1"):
                 self.assertNotIn(KEY, made.targets.get(name).warmth)  # type: ignore
 
-        self.play(store, made, work)
+        self.run_keeper(store, made, work)
 
-    def test_an_old_record_tells_nothing(self) -> None:
+    def test_an_old_record_is_ignored(self) -> None:
         made = steering(1)
-        store = RecordStore(record(made, NOW_S - LONGEST_USE - 1.0))
+        store = RecordStore(record(made, NOW_S - MAX_RECORD_AGE_S - 1.0))
 
         async def work() -> None:
             await eventually(lambda: store.lists == 1)
             await asyncio.sleep(0.02)
             self.assertNotIn(KEY, made.targets.get("t-0").warmth)  # type: ignore
 
-        self.play(store, made, work)
+        self.run_keeper(store, made, work)
 
-    def test_a_record_that_cant_be_read_is_skipped_and_replaced(self) -> None:
+    def test_a_malformed_record_is_skipped_and_replaced(self) -> None:
         made = steering(1)
         made.targets.get("t-0").warmth.add(5)  # type: ignore
         store = RecordStore({"pairs": 3})
@@ -148,30 +148,31 @@
             await eventually(lambda: store.writes == 1)
             self.assertTrue(decode_record(store.value).is_ok())
 
-        self.play(store, made, work)
+        self.run_keeper(store, made, work)
 
     def test_nothing_is_written_before_the_record_was_read(self) -> None:
-        """An entry starts while the store is away and replaces the record by the little it knows.
+        """Guards against an entry that starts while the store is unavailable.
 
-        The others' knowledge, which the next one to start needs, would be gone.
+        Writing first would replace the record by the few objects that the entry knows, and the next
+        entry to start would lack the rest.
         """
         made = steering(2)
-        known = record(made)
-        store = RecordStore(known)
-        store.away = True
+        initial = record(made)
+        store = RecordStore(initial)
+        store.is_away = True
 
         async def work() -> None:
             made.targets.get("t-0").warmth.add(5)  # type: ignore
             await eventually(lambda: store.lists >= 3)
-            self.assertEqual(known, store.value)
-            store.away = False
+            self.assertEqual(initial, store.value)
+            store.is_away = False
             await eventually(lambda: store.writes == 1)
             pairs = decode_record(store.value).ok.pairs
             self.assertEqual({5, KEY}, {key for _, key in pairs})
 
-        self.play(store, made, work)
+        self.run_keeper(store, made, work)
 
-    def test_it_is_written_only_when_it_has_changed_and_by_one_entry(self) -> None:
+    def test_the_record_is_written_only_when_it_has_changed_and_by_one_entry(self) -> None:
         made = steering(1)
         made.targets.get("t-0").warmth.add(5)  # type: ignore
         store = RecordStore()
@@ -183,11 +184,11 @@
             made.targets.get("t-0").warmth.add(6)  # type: ignore
             await eventually(lambda: store.writes == 2)
 
-        self.play(store, made, work)
+        self.run_keeper(store, made, work)
         other = RecordStore()
 
         async def idle() -> None:
             await asyncio.sleep(0.1)
             self.assertEqual(0, other.writes)
 
-        self.play(other, made, idle, writer=False)
+        self.run_keeper(other, made, idle, writer=False)
