--- a/tests/gateway/spreading.py
+++ b/tests/gateway/spreading.py
@@ -1,7 +1,7 @@
-"""A fleet in virtual time: real decisions about the store and other entries, a played network.
+"""A fleet in virtual time: the real code for the store and other entries, a simulated network.
 
 It follows a change of a registration from the store's acknowledgement to every entry, under faults
-of the store, of the entries and of the ways between them.
+of the store, the entries and the network.
 """
 
 import asyncio
@@ -28,16 +28,16 @@
 
 __all__ = ["Entry", "World"]
 
-RENEWAL = 1.5
-"""Seconds between two renewals of a registration."""
-WARMTH_PERIOD = 3.0
-"""Seconds between two changes of what nobody follows, which move the store's revision on."""
-TICK = 0.25
-"""Seconds between two looks of an entry at its role and its groups."""
+RENEWAL_PERIOD_S = 1.5
+"""Time between two renewals of a registration."""
+WARMTH_PERIOD_S = 3.0
+"""Time between two changes of an object that no entry follows; each increases the revision."""
+TICK_S = 0.25
+"""Time between two updates of an entry's role and its groups."""
 
 
 class Entry:
-    """One entry's knowledge: its copies, who it asks and whom it tells."""
+    """One entry: its copies of the store's objects, its gossip and how it follows the store."""
 
     def __init__(self, world: "World", entry_id: str, zone: str, seed: int) -> None:
         self.world = world
@@ -80,7 +80,7 @@
             for kind in FOLLOWED
         }
         self.following.syncs = self.syncs
-        self.learnt_at: dict[str, float] = {}
+        self.departure_received_at: dict[str, float] = {}
         self._channels: dict[str, Connections] = {}
 
     def send(self, news: News, addresses: list[tuple[str, int]]) -> None:
@@ -90,12 +90,12 @@
 
     async def pull(self, address: Address, kind: Kind, newer_than: int) -> Pulled | None:
         """Copy another entry's objects, as :class:`PullClient`."""
-        other, me, net = address.host, self.record.entry_id, self.world.net
-        channel = self._channels.setdefault(other, Connections(me, net, CHANNEL_IDLE))
+        other, entry_id, net = address.host, self.record.entry_id, self.world.net
+        channel = self._channels.setdefault(other, Connections(entry_id, net, CHANNEL_IDLE))
         try:
             async with asyncio.timeout(PULL_TIMEOUT):
                 await channel.open()
-                if not net.passes(me, other) or not net.passes(other, me):
+                if not net.passes(entry_id, other) or not net.passes(other, entry_id):
                     await asyncio.Event().wait()
                 await asyncio.sleep(2.0 * WAY + net.slow.get(other, 0.0))
         except TimeoutError:
@@ -108,18 +108,18 @@
         return Pulled(replica.newer_than(newer_than), sender.following.store_age())
 
     async def run(self) -> None:
-        """Tick until cancelled."""
-        loop, me = asyncio.get_running_loop(), self.record.entry_id
+        """Run the periodic work until cancelled."""
+        loop, entry_id = asyncio.get_running_loop(), self.record.entry_id
         tasks = [asyncio.ensure_future(sync.run()) for sync in self.syncs.values()]
         due = 0.0
         try:
             while True:
                 await asyncio.sleep(self.gossip.period())
-                if me in self.world.net.frozen:
+                if entry_id in self.world.net.frozen:
                     continue
                 self.gossip.tick(loop.time())
                 if loop.time() >= due:
-                    due = loop.time() + TICK
+                    due = loop.time() + TICK_S
                     self.following.tick()
                     self.gossip.members_changed(loop.time())
         finally:
@@ -128,17 +128,17 @@
             self.following.close()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    def heard(self, news: News) -> None:
-        """Take another entry's news."""
+    def received(self, news: News) -> None:
+        """Handle the news of another entry."""
         if self.gossip.received(news, asyncio.get_running_loop().time()):
             self.following.heard(news)
 
     def _changed(self, kind: Kind, changes: Sequence[StoredChange], way: Way) -> None:
         now = asyncio.get_running_loop().time()
         for change in changes:
-            left = change.value is None or change.value.get("state") == "draining"
-            if kind is Kind.TARGETS and left:
-                self.learnt_at.setdefault(change.name, now)
+            is_leaving = change.value is None or change.value.get("state") == "draining"
+            if kind is Kind.TARGETS and is_leaving:
+                self.departure_received_at.setdefault(change.name, now)
 
 
 class World:
@@ -147,9 +147,9 @@
     Parameters
     ----------
     bound : float
-        Seconds in which a change must be in force.
+        Seconds within which a change must be in force.
     renewals : bool
-        Renewals of registrations are changes that watches tell of.
+        Whether registrations are renewed, so that watches report the renewals as changes.
     """
 
     def __init__(
@@ -177,22 +177,22 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Start all entries and the renewals."""
+        """Start all entries and the periodic writes to the store."""
         self._tasks = [asyncio.ensure_future(entry.run()) for entry in self.by_id.values()]
         self._tasks.append(asyncio.ensure_future(self._write_warmth()))
         if self._renewals:
             self._tasks.append(asyncio.ensure_future(self._renew()))
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop all tasks."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def deliver(self, sender: str, receiver: str, news: News) -> None:
-        """Carry news from one entry to another."""
-        lost = self._rng.random() < self.net.news_lost
-        if not lost and self.net.passes(sender, receiver):
+        """Transmit news from one entry to another."""
+        is_lost = self._rng.random() < self.net.news_lost
+        if not is_lost and self.net.passes(sender, receiver):
             delay = WAY + self.net.slow.get(receiver, 0.0)
             asyncio.get_running_loop().call_later(delay, self._arrive, receiver, news)
 
@@ -204,33 +204,33 @@
             if entry.record.zone == zone and entry.gossip.groups.is_reader
         ]
 
-    async def leaves(self, name: str, within: float) -> dict[str, float]:
-        """Let a backend server leave; return by entry after how long it was known.
+    async def departure_delays(self, name: str, within: float) -> dict[str, float]:
+        """Let a backend server leave; return the seconds until each entry received the departure.
 
-        An entry that does not know it ``within`` seconds is not in the result.
+        Entries that do not receive it ``within`` seconds are not in the result.
         """
         loop = asyncio.get_running_loop()
         self.store.put(Kind.TARGETS, name, {"state": "draining"})
-        acked = loop.time()
+        acknowledged_at = loop.time()
         await asyncio.sleep(within)
         return {
-            entry_id: entry.learnt_at[name] - acked
+            entry_id: entry.departure_received_at[name] - acknowledged_at
             for entry_id, entry in self.by_id.items()
-            if name in entry.learnt_at
+            if name in entry.departure_received_at
         }
 
     def _arrive(self, receiver: str, news: News) -> None:
         if receiver not in self.net.frozen:
-            self.by_id[receiver].heard(news)
+            self.by_id[receiver].received(news)
 
     async def _write_warmth(self) -> None:
-        """Change what nobody follows, so that the store's history moves on."""
+        """Change an object that no entry follows, so that the store's history moves on."""
         while True:
-            await asyncio.sleep(WARMTH_PERIOD)
+            await asyncio.sleep(WARMTH_PERIOD_S)
             self.store.put(Kind.WARMTH, "warmth", {})
 
     async def _renew(self) -> None:
-        step, number = RENEWAL / self.targets, 0
+        step, number = RENEWAL_PERIOD_S / self.targets, 0
         while True:
             await asyncio.sleep(step)
             number = (number + 1) % self.targets
--- a/tests/gateway/test_departure_spread.py
+++ b/tests/gateway/test_departure_spread.py
@@ -160,7 +160,7 @@
     await asyncio.sleep(SETTLED + offset)
     readers = [reader for zone in range(zones) for reader in world.readers(f"z-{zone}")]
     fault(world, readers)
-    ages = await world.leaves("t-1", LONGEST)
+    ages = await world.departure_delays("t-1", LONGEST)
     await world.stop()
     sound = set(world.by_id) - disturbed(world)
     return max(ages.get(entry_id, float("inf")) for entry_id in sound)
