--- a/briarspur/gateway/fleet.py
+++ b/briarspur/gateway/fleet.py
@@ -29,7 +29,7 @@
 class Fleet:
     """Entries by their records in the store and by the news received from them.
 
-    A record has the address of an entry, and its news show that it is alive. Both are needed: a
+    A record has the address of an entry, and its news shows that it is alive. Both are needed: a
     record outlives a killed process, and news from an unknown address could come from any sender.
     """
 
--- a/briarspur/gateway/gossip.py
+++ b/briarspur/gateway/gossip.py
@@ -31,7 +31,7 @@
 """Time between two sums that also go to the second aggregators of other groups. Traffic between
 regions is paid for, and the second aggregator's data only must not be stale when it takes over."""
 KEEPALIVE_PERIOD_S = 0.3
-"""Time after which unchanged news are sent again to show that this entry is alive."""
+"""Time after which an unchanged message is sent again to show that this entry is alive."""
 MAX_COUNTS_PER_PART = 90
 MAX_SEEN_PER_PART = 45
 """Targets and entries in one part of a sum: 450 and 225 bytes. With the other fields a datagram
@@ -140,7 +140,7 @@
         if news.entry_id == self._own_record.entry_id:
             return False
         if self._notices is not None:
-            # Each limit carries its own age, so limits in reordered news are valid, too.
+            # Each limit carries its own age, so those in a reordered message are valid, too.
             self._notices.take_notices(news.notices, now)
         if not news.group:
             accepted = self._entry_news_received(news, now)
--- a/briarspur/gateway/loadview.py
+++ b/briarspur/gateway/loadview.py
@@ -19,8 +19,8 @@
 ]
 
 STALE_S = 1.5
-"""Time after which an entry's last news no longer count: the entry has ended or is unreachable, and
-most of the requests that it had in flight have ended."""
+"""Time after which an entry's last news no longer counts: the entry has ended or is unreachable,
+and most of the requests that it had in flight have ended."""
 MAX_WARMED_PER_MESSAGE = 30
 """Warmed objects in one message, 240 bytes; the others follow in the next ones."""
 MAX_QUEUED_WARMED = 2_000
@@ -111,7 +111,7 @@
         )
 
     def is_newer_than(self, reported: "ReportedCounts") -> bool:
-        """Return whether this replaces earlier counts; news of another sender always do."""
+        """Return whether this replaces earlier counts; a message of another sender always does."""
         return reported.sender != self.entry_id or (self.started, self.sequence) > (
             reported.started,
             reported.sequence,
@@ -137,8 +137,8 @@
 class LoadView:
     """Sums the news of the other entries into each target's ``elsewhere``.
 
-    News of an entry replace its earlier ones, and the sum of a group replaces the earlier sum of
-    that group, no matter who sends it; so nothing is counted twice when a group's leader changes.
+    A message of an entry replaces its earlier ones, and the sum of a group replaces the earlier sum
+    of that group, no matter who sends it. So nothing counts twice when the leader changes.
 
     Attributes
     ----------
@@ -185,7 +185,7 @@
                 target.warmth.add(key)
 
     def clear(self) -> None:
-        """Drop all news, since the following ones come from other sources."""
+        """Drop all news, since it will come from other sources from now on."""
         for key in list(self._counts_by_source):
             self._drop(key)
 
--- a/briarspur/gateway/news.py
+++ b/briarspur/gateway/news.py
@@ -29,7 +29,7 @@
 
 
 class NewsPort(DatagramProtocol):
-    """The UDP port for news; datagrams are preferred to calls, since late news are worthless.
+    """The UDP port for news; datagrams fit better than calls, since a late message is worthless.
 
     Parameters
     ----------
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -31,11 +31,11 @@
 
 
 class WireTest(unittest.TestCase):
-    """News are decoded as they were encoded."""
+    """Decoding returns the encoded news."""
 
     @settings(max_examples=50, deadline=None, derandomize=True)
     @given(ANY_NEWS)
-    def test_decoded_news_equal_the_encoded_ones(self, news: News) -> None:
+    def test_decoding_returns_the_encoded_news(self, news: News) -> None:
         self.assertEqual(news, news_from_wire(news_to_wire(news, 1.0))[0])
 
     def test_ages_are_sent_in_steps_and_bounded(self) -> None:
