--- a/briarspur/gateway/app.py
+++ b/briarspur/gateway/app.py
@@ -114,7 +114,7 @@
             self._counts,
             lambda: self.following.significant(),
             lambda: self.following.store_age(),
-            self.steering.uses,
+            self.steering.usage_counts,
             self.steering.quotas.worth_telling,
             self.steering,
         )
@@ -308,7 +308,7 @@
         quotas = self.steering.quotas
         if now - quotas.started < quotas.window:
             quotas.elder_heard = self.fleet.has_elder(quotas.window, now)
-        self.steering.fleet_heard(self.fleet.heard_size(now))
+        self.steering.set_live_fleet_size(self.fleet.heard_size(now))
         self.steering.limits.forget(now)
         entry_ids = self.fleet.entry_ids(now)
         if entry_ids != self.entry_ids:
@@ -316,7 +316,7 @@
                 entry_ids
             )
             self.entry_ids = entry_ids
-            self.steering.entries_changed(entry_ids)
+            self.steering.set_live_entries(entry_ids)
             logs.event(
                 "entries-changed",
                 live=len(entry_ids),
--- a/briarspur/gateway/applier.py
+++ b/briarspur/gateway/applier.py
@@ -90,7 +90,7 @@
             self._malformed(Kind.CONFIGURATION, change, read.error)
             return
         configuration, faults = read.ok.configuration, read.ok.faults
-        if not self._steering.configuration_accepted(configuration):
+        if not self._steering.apply_configuration(configuration):
             return
         logs.event(
             "configuration-in-force",
@@ -153,14 +153,14 @@
     def _entry(self, change: StoredChange) -> None:
         if change.value is None:
             self._fleet.removed(change.name)
-            self._steering.fleet_recorded(self._fleet.size)
+            self._steering.set_recorded_fleet_size(self._fleet.size)
             return
         read = self._codec.entry(change.name, change.value)
         if read.is_error():
             self._malformed(Kind.ENTRIES, change, read.error)
             return
         self._fleet.recorded(read.ok, self._clock())
-        self._steering.fleet_recorded(self._fleet.size)
+        self._steering.set_recorded_fleet_size(self._fleet.size)
 
     def _malformed(self, kind: Kind, change: StoredChange, reason: str) -> None:
         self.malformed += 1
--- a/briarspur/gateway/authorization.py
+++ b/briarspur/gateway/authorization.py
@@ -6,7 +6,7 @@
 from briarspur.codes import Code
 from briarspur.gateway.configuration import Configuration, Route
 from briarspur.gateway.customers import Customer
-from briarspur.gateway.work import MOST_RETRY_AFTER, Arrival, Bounds, Refused
+from briarspur.gateway.work import MAX_RETRY_AFTER_S, Arrival, Bounds, Refused
 
 __all__ = ["Authorization", "Authorized"]
 
@@ -65,7 +65,7 @@
 
 
 def _come_back(why: str) -> Refused:
-    return Refused(Code.NOT_READY, MOST_RETRY_AFTER, why)
+    return Refused(Code.NOT_READY, MAX_RETRY_AFTER_S, why)
 
 
 def _common_regions(route: Route, customer: Customer | None) -> frozenset[str] | None:
--- a/briarspur/gateway/exchange.py
+++ b/briarspur/gateway/exchange.py
@@ -114,7 +114,7 @@
         now = self._services.clock.seconds()
         self._sendings.remove(sending)
         steering = self._services.steering
-        steering.ended(sending.attempt, outcome, now)
+        steering.attempt_ended(sending.attempt, outcome, now)
         self._services.log.attempt_ended(sending.attempt, outcome, detail, now)
         if self.done:
             return
@@ -152,7 +152,7 @@
         if self.done or sending.ended or self._streaming is not None:
             return
         now = self._services.clock.seconds()
-        self._services.steering.overdue(sending.attempt, now)
+        self._services.steering.record_overdue(sending.attempt, now)
         if len(self._sendings) > 1:
             return
         second = self._services.steering.hedge(self.work, now)
@@ -177,7 +177,7 @@
         self._decided = True
         head, body = sending.head, sending.take_body()
         self._give_up_others(sending)
-        self._services.steering.answer_size(self.work, len(body))
+        self._services.steering.record_answer_size(self.work, len(body))
         whole = AnswerHead(head.status, head.headers, len(body))
         self._caller.begin(whole, self._services.dialect.answer_headers(head.headers))
         self._caller.write(body)
--- a/briarspur/gateway/gossip.py
+++ b/briarspur/gateway/gossip.py
@@ -53,10 +53,10 @@
 class NoticeKeeper(Protocol):
     """Keeps what backend servers say of themselves."""
 
-    def take_notices(self, notices: ToldNotices, now: float) -> None:
+    def record_notices(self, notices: ToldNotices, now: float) -> None:
         """Take what another entry says."""
 
-    def notices_to_tell(self, relays: bool, now: float) -> ToldNotices:
+    def notices_to_report(self, relays: bool, now: float) -> ToldNotices:
         """Return what the others are to be told; what others told, too, if this entry relays."""
 
 
@@ -141,7 +141,7 @@
             return False
         if self._notices is not None:
             # Each limit has an age of its own, so those of late news count as well.
-            self._notices.take_notices(news.notices, now)
+            self._notices.record_notices(news.notices, now)
         if not news.group:
             taken = self._own_news_received(news, now)
         elif news.group == ALL_OTHERS:
@@ -324,7 +324,7 @@
         """Return what servers said; the first part of a sum has it, and speakers pass it on."""
         if self._notices is None or part > 0:
             return NOTHING_SAID
-        return self._notices.notices_to_tell(self.groups.is_speaker, now)
+        return self._notices.notices_to_report(self.groups.is_speaker, now)
 
     def _send(self, news: News, entries: list[EntryRecord]) -> None:
         self._sender.send(news, [(entry.host, entry.news_port) for entry in entries])
--- a/briarspur/gateway/sending.py
+++ b/briarspur/gateway/sending.py
@@ -193,7 +193,7 @@
         services = self._services
         notice = services.dialect.notice(head)
         if notice is not None:
-            services.steering.noticed(self.attempt.target, notice, services.clock.seconds())
+            services.steering.record_notice(self.attempt.target, notice, services.clock.seconds())
         if self._is_passed_on(head):
             self._owner.sending_began(self, head)
 
--- a/briarspur/gateway/steering.py
+++ b/briarspur/gateway/steering.py
@@ -1,7 +1,7 @@
-"""The decisions about each request: which server, whether again, or which refusal.
+"""Decides for each request which server gets it, whether to retry it, or how to refuse it.
 
-Events in, decisions out; nothing here does I/O, reads a clock or draws a random number. Times are
-seconds on the caller's monotonic clock.
+This module does no I/O, reads no clock and draws no random numbers: its methods are called with
+events and return decisions. Times are seconds on the caller's monotonic clock.
 """
 
 from collections import Counter
@@ -24,10 +24,10 @@
 from briarspur.gateway.transit import TransitTimes
 from briarspur.gateway.warmth import object_key
 from briarspur.gateway.work import (
-    LEAST_RETRY_AFTER,
-    MOST_RETRY_AFTER,
-    SHORTEST_TRY,
-    STARTING_RETRY_AFTER,
+    MAX_RETRY_AFTER_S,
+    MIN_ATTEMPT_S,
+    MIN_RETRY_AFTER_S,
+    STARTING_RETRY_AFTER_S,
     Arrival,
     Attempt,
     Bounds,
@@ -39,29 +39,30 @@
 __all__ = ["Steering"]
 
 HEDGE_SHARE = 0.5
-"""Part of the retry budget that these may use; the rest is left for requests that failed."""
-MOST_LOOKS = 8
-"""Servers without room within their limits that are looked at for one request; then all that name a
-limit are passed over."""
+"""Share of the retry budget that hedged requests may use; the rest is reserved for requests that
+failed."""
+MAX_CANDIDATE_CHECKS = 8
+"""Servers whose advertised limit is checked for one request. If none of them has room, all servers
+that advertise a limit are excluded."""
 
 
 class Steering:
-    """Decides for one entry.
+    """Routing decisions of one entry.
 
     Parameters
     ----------
-    me : str
+    entry_id : str
         This entry's id.
     zone, region : str
-        Where it stands.
+        This entry's availability zone and region.
     zone_regions : mapping
         The region of each zone.
     """
 
     def __init__(
-        self, me: str, zone: str, region: str, zone_regions: Mapping[str, str], bounds: Bounds
+        self, entry_id: str, zone: str, region: str, zone_regions: Mapping[str, str], bounds: Bounds
     ) -> None:
-        self.me = me
+        self.entry_id = entry_id
         self.configuration: Configuration | None = None
         self.targets = TargetTable(zone_regions)
         self.loads = LoadView(self.targets.by_number)
@@ -70,29 +71,29 @@
             bounds.quota_window, self.loads.known, bounds.quota_overage, bounds.quota_slack
         )
         self.limits = ServerLimits(self.targets.by_number, self.loads.known)
-        self.loads.on_other = self._count_changed
+        self.loads.on_other = self._record_usage_change
         self.transit = TransitTimes(zone, region)
-        self.times = WorkTimes()
-        self.entries: list[str] = [me]
+        self.work_times = WorkTimes()
+        self.entries: list[str] = [entry_id]
         self.authorization = Authorization(bounds)
-        # Shares of a limit are divided by all entries that are recorded, not by those that seem to
-        # live. An entry that is leaving, late with its news or not heard of yet still sends
-        # retries; divided by a smaller number, the shares of all would exceed the limit.
+        # A limit is divided by the number of recorded entries, not of entries that appear live. An
+        # entry that is shutting down, whose news is late or that is still unknown here sends
+        # retries too; with a smaller divisor the shares would add up to more than the limit.
         self.fleet_size = 1
-        self._chooser = Chooser(self.times, self.transit)
+        self._chooser = Chooser(self.work_times, self.transit)
         self._bounds = bounds
         self._turns_by_route: dict[str, tuple[Route, WeightedTurns]] = {}
-        self._budget_by_service: dict[str, RetryBudget] = {}
+        self._retry_budget_by_service: dict[str, RetryBudget] = {}
 
-    # What is in force
+    # Current configuration and fleet
 
     @property
     def version(self) -> int:
-        """Version of the configuration in force; 0 if there is none."""
+        """Version of the current configuration; 0 if there is none."""
         return self.configuration.version if self.configuration is not None else 0
 
-    def configuration_accepted(self, configuration: Configuration) -> bool:
-        """Take a configuration if it is newer than the one in force."""
+    def apply_configuration(self, configuration: Configuration) -> bool:
+        """Apply a configuration if it is newer than the current one; return whether it was."""
         current = self.configuration
         if current is not None and configuration.version <= current.version:
             return False
@@ -102,34 +103,34 @@
         self._turns_by_route = {k: v for k, v in self._turns_by_route.items() if k in names}
         return True
 
-    def entries_changed(self, entries: list[str]) -> None:
-        """Take the live entries, this one included."""
+    def set_live_entries(self, entries: list[str]) -> None:
+        """Set the ids of the live entries, including this one."""
         self.entries = entries
         for target in self.targets.by_number.values():
             target.cold_rate = None
 
-    def fleet_recorded(self, size: int) -> None:
-        """Take how many entries the store names."""
+    def set_recorded_fleet_size(self, size: int) -> None:
+        """Set the number of entries that are recorded in the store."""
         self.fleet_size = size
         self.quotas.recorded = size
         self.limits.recorded = size
 
-    def fleet_heard(self, size: int) -> None:
-        """Take how many entries are heard, this one included."""
+    def set_live_fleet_size(self, size: int) -> None:
+        """Set the number of entries that news arrives from, including this one."""
         self.quotas.live = size
         self.limits.live = size
 
-    def uses(self, now: float) -> Counter[int]:
-        """Return the uses of what all entries share, to be told to the others by number."""
+    def usage_counts(self, now: float) -> Counter[int]:
+        """Return this entry's use of the shared quotas and limits by number, to be advertised."""
         return self.quotas.counts(now) + self.limits.counts(now)
 
     # Requests
 
     def begin(self, arrival: Arrival, now: float) -> Work | Refused:
-        """Find the route of a request and the service that takes it."""
+        """Authorize a request, find its route and select a service by the route's split."""
         configuration = self.configuration
         if configuration is None:
-            return Refused(Code.NOT_READY, STARTING_RETRY_AFTER)
+            return Refused(Code.NOT_READY, STARTING_RETRY_AFTER_S)
         allowed = self.authorization.check(configuration, arrival)
         if isinstance(allowed, Refused):
             return allowed
@@ -137,9 +138,9 @@
         over = self.quotas.refuse(customer, arrival.request_id, now)
         if over is not None:
             return Refused(Code.QUOTA_SPENT, over.retry_after, over.detail)
-        patience = min(arrival.patience, route.timeout)
+        time_budget = min(arrival.timeout, route.timeout)
         service = self._turns(route).next()
-        self._budget(service).request_arrived(now)
+        self._retry_budget(service).request_arrived(now)
         key = None if arrival.key is None else object_key(route.name, arrival.key)
         return Work(
             request_id=arrival.request_id,
@@ -147,7 +148,7 @@
             service=service,
             key=key,
             arrived=now,
-            deadline=now + patience,
+            deadline=now + time_budget,
             version=configuration.version,
             size=arrival.size,
             customer=customer,
@@ -156,24 +157,24 @@
 
     def next_attempt(self, work: Work, now: float) -> Attempt | Refused:
         """Choose a server for a request."""
-        if work.deadline - now < SHORTEST_TRY:
+        if work.deadline - now < MIN_ATTEMPT_S:
             return Refused(Code.DEADLINE_TOO_SHORT)
         if work.regions is None:
-            return Refused(Code.NO_TARGET, MOST_RETRY_AFTER, "route and customer share no region")
+            return Refused(Code.NO_TARGET, MAX_RETRY_AFTER_S, "route and customer share no region")
         if not len(self.targets):
-            return Refused(Code.NOT_READY, STARTING_RETRY_AFTER)
+            return Refused(Code.NOT_READY, STARTING_RETRY_AFTER_S)
         targets = self.targets.in_regions(work.service, work.regions)
         if not targets:
-            return Refused(Code.NO_TARGET, MOST_RETRY_AFTER)
-        self._prepare_cold(work, targets, now)
+            return Refused(Code.NO_TARGET, MAX_RETRY_AFTER_S)
+        self._assign_cold_rates(work, targets, now)
         choice = self._choose(work, work.regions, targets, now)
         if choice is None:
             suspected = sum(target.breaker.suspected(now) for target in targets)
             limited = self.limits.limited(targets)
-            resting = sum(target.rests(now) for target in targets)
+            backing_off = sum(target.rests(now) for target in targets)
             detail = (
                 f"none of {len(targets)} targets in time, {suspected} suspected, "
-                f"{limited} limited, {resting} resting"
+                f"{limited} limited, {backing_off} resting"
             )
             return Refused(Code.OVERLOADED, self._retry_after(work, now), detail)
         if choice.finish > work.deadline - now:
@@ -182,20 +183,20 @@
                 f"{choice.work:.3f} s, {work.deadline - now:.3f} s left"
             )
             return Refused(Code.OVERLOADED, self._retry_after(work, now), detail)
-        return self._send(work, choice, now)
+        return self._start_attempt(work, choice, now)
 
     def hedge(self, work: Work, now: float) -> Attempt | None:
-        """Choose a second server for a request that its first one is late with."""
+        """Choose a second server for a request whose first attempt is overdue."""
         if not work.route.repeatable or work.hedged or work.sent >= work.route.attempts:
             return None
         work.hedged = True
-        if not self._budget(work.service).take(now, self.fleet_size, HEDGE_SHARE):
+        if not self._retry_budget(work.service).take(now, self.fleet_size, HEDGE_SHARE):
             return None
         attempt = self.next_attempt(work, now)
         return attempt if isinstance(attempt, Attempt) else None
 
-    def noticed(self, target: Target, notice: ServerNotice, now: float) -> None:
-        """Take what a server says of itself in an answer."""
+    def record_notice(self, target: Target, notice: ServerNotice, now: float) -> None:
+        """Record the limit, departure or backoff that a server advertised in its response."""
         if notice.limit_per_s is not None:
             self.limits.answered(target, notice.limit_per_s, now)
         if notice.leaving:
@@ -203,26 +204,32 @@
         if notice.rest > 0.0:
             self.targets.rests(target, notice.rest, now)
 
-    def take_notices(self, notices: ToldNotices, now: float) -> None:
-        """Take what servers said to other entries."""
+    def record_notices(self, notices: ToldNotices, now: float) -> None:
+        """Record the notices that other entries received from servers."""
         self.limits.told(notices.limits, now)
         self.targets.told_leaving(notices.leaving, now)
 
-    def notices_to_tell(self, relays: bool, now: float) -> ToldNotices:
-        """Return what servers said, for the other entries; if it relays, what others told, too."""
+    def notices_to_report(self, relays: bool, now: float) -> ToldNotices:
+        """Return the servers' notices to report to the other entries.
+
+        Parameters
+        ----------
+        relays : bool
+            Whether notices that other entries reported are included.
+        """
         return ToldNotices(self.limits.to_tell(relays, now), self.targets.leaving_to_tell(now))
 
-    def overdue(self, attempt: Attempt, now: float) -> None:
-        """Note that an attempt takes far longer than expected."""
-        ratio = (now - attempt.started) / max(attempt.expected, SHORTEST_TRY)
+    def record_overdue(self, attempt: Attempt, now: float) -> None:
+        """Record that an unfinished attempt has taken far longer than expected."""
+        ratio = (now - attempt.started) / max(attempt.expected, MIN_ATTEMPT_S)
         attempt.target.at_least_as_slow(ratio * attempt.target.current_speed(now), now)
 
-    def answer_size(self, work: Work, size: int) -> None:
-        """Learn the size of a whole answer, in bytes."""
-        self.times.route(work.route.name, work.route.goal).learn_size(size)
+    def record_answer_size(self, work: Work, size: int) -> None:
+        """Record the size of a complete answer, in bytes."""
+        self.work_times.route(work.route.name, work.route.goal).learn_size(size)
 
-    def ended(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
-        """Learn from the end of an attempt."""
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
+        """Record how an attempt ended and update what is known about its server."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -230,14 +237,14 @@
         target.in_flight -= 1
         if outcome in UNSENT:
             self.limits.not_sent(target)
-        if outcome in NOT_RUN and attempt.warms and attempt.work.key is not None:
+        if outcome in NOT_RUN and attempt.warms_object and attempt.work.key is not None:
             target.warmth.discard(attempt.work.key)
         match outcome:
             case Outcome.ANSWERED | Outcome.SERVER_ERROR:
                 target.breaker.succeeded()
                 target.learn_trouble(outcome is Outcome.SERVER_ERROR, now)
                 if outcome is Outcome.ANSWERED:
-                    self._learn(attempt, now)
+                    self._learn_times(attempt, now)
             case Outcome.REJECTED | Outcome.INVALID:
                 target.breaker.trial_ended()
                 target.learn_trouble(True, now)
@@ -249,16 +256,17 @@
                 target.breaker.trial_ended()
 
     def retry(self, work: Work, outcome: Outcome, now: float) -> Attempt | Refused | None:
-        """Return the next attempt after a failed one, or the refusal; None if it may not be tried.
+        """Return the next attempt after a failed one, or a refusal; None if no retry is allowed.
 
-        A request that can't be repeated is sent again only after proof that it was not run. A
-        rejected one costs budget too: the service bears only so many arrivals.
+        A request that can't be repeated is retried only if it is proven that it was not run. The
+        retry of a rejected request counts against the budget too, since the rejected request was
+        load for the service as well.
         """
         proven = outcome in NOT_RUN
         if not proven and not work.route.repeatable:
             return None
         if outcome not in UNSENT:
-            spent = self._spent(work, now)
+            spent = self._spend_retry(work, now)
             if spent is not None:
                 return Refused(spent, self._retry_after(work, now)) if proven else None
         attempt = self.next_attempt(work, now)
@@ -266,15 +274,15 @@
             return None
         return attempt
 
-    # Parts
+    # Internals
 
     def _choose(
         self, work: Work, regions: frozenset[str], targets: list[Target], now: float
     ) -> Choice | None:
-        """Return the best server that has room within the limit it names, if it names one."""
+        """Return the best server whose advertised limit, if any, has room for the request."""
         wish = Wish(work.route, work.service, work.key, work.tried, work.size, regions)
         full: list[Target] = []
-        for _ in range(MOST_LOOKS):
+        for _ in range(MAX_CANDIDATE_CHECKS):
             choice = self._chooser.choose(wish, targets, self.targets.epoch, now)
             if choice is None or self.limits.has_room(choice.target, work.request_id, now):
                 return choice
@@ -283,19 +291,19 @@
         wish = replace(wish, full=[t for t in targets if self.limits.is_limited(t)])
         return self._chooser.choose(wish, targets, self.targets.epoch, now)
 
-    def _spent(self, work: Work, now: float) -> Code | None:
-        """Take one retry; return what forbids it, None if it is allowed."""
+    def _spend_retry(self, work: Work, now: float) -> Code | None:
+        """Take one retry from the budget; return the code that forbids it, None if allowed."""
         if work.sent >= work.route.attempts:
             return Code.ATTEMPTS_SPENT
-        if not self._budget(work.service).take(now, self.fleet_size):
+        if not self._retry_budget(work.service).take(now, self.fleet_size):
             return Code.RETRY_BUDGET_SPENT
         return None
 
-    def _count_changed(self, number: int, change: int) -> None:
+    def _record_usage_change(self, number: int, change: int) -> None:
         self.quotas.heard(number, change)
         self.limits.heard(number, change)
 
-    def _send(self, work: Work, choice: Choice, now: float) -> Attempt:
+    def _start_attempt(self, work: Work, choice: Choice, now: float) -> Attempt:
         target = choice.target
         queued = target.load >= target.registration.slots
         if target.cold_until > now and target.cold_rate is not None:
@@ -303,9 +311,9 @@
         target.in_flight += 1
         self.limits.sent(target, now)
         target.breaker.sent()
-        # A server has an object at hand as soon as it begins with it: of two requests that overlap
-        # only the first takes the cold time. Noted at the send, the next ones for the object follow
-        # it instead of making another server warm.
+        # A server holds an object as soon as it begins to work on it: of two overlapping requests
+        # only the first takes the cold time. The object is recorded as warm when the request is
+        # sent, so that later requests for it go to the same server and warm up no other one.
         first = work.key is not None and target.warmth.add(work.key)
         if first and work.key is not None:
             self.loads.warmed(target.number, work.key)
@@ -318,30 +326,30 @@
             transit=choice.transit,
             queued=queued,
             started=now,
-            warms=first,
+            warms_object=first,
         )
 
-    def _learn(self, attempt: Attempt, now: float) -> None:
+    def _learn_times(self, attempt: Attempt, now: float) -> None:
         work, target = attempt.work, attempt.target
         if attempt.queued:
             return
         seconds = max(0.0, now - attempt.started - attempt.transit)
-        times = self.times.route(work.route.name, work.route.goal)
+        times = self.work_times.route(work.route.name, work.route.goal)
         expected = times.expected(attempt.warm)
-        target.learn_speed(seconds / max(expected, SHORTEST_TRY), now)
+        target.learn_speed(seconds / max(expected, MIN_ATTEMPT_S), now)
         if target.cold_until <= now:
             if attempt.warm and not times.seems_warm(seconds / target.current_speed(now)):
-                self._forgotten(work, target)
+                self._record_cache_miss(work, target)
             times.learn(seconds, attempt.warm)
-            self.times.learn_mean(work.service, seconds)
+            self.work_times.learn_mean(work.service, seconds)
 
-    def _forgotten(self, work: Work, target: Target) -> None:
-        """Note that a server no longer had an object at hand that was believed to be warm there.
+    def _record_cache_miss(self, work: Work, target: Target) -> None:
+        """Record that an object was cold at a server where it was expected to be warm.
 
-        A server keeps some 25 objects. Under a burst they are spread over more servers than can
-        keep them, and if all these were used on, each request would take the place of another's
-        object: 20 % of the requests took the cold time for as long as the load lasted. So the
-        object goes back to the servers that still have it.
+        A server keeps about 25 objects. A burst spreads objects over more servers than can keep
+        them. If all these servers stayed in use, each request would evict the object of another
+        one: 20 % of the requests took the cold time for as long as the load lasted. So requests for
+        the object return to the servers that still hold it.
         """
         key = work.key
         if key is None:
@@ -350,8 +358,8 @@
         if any(key in other.warmth for other in others if other is not target):
             target.warmth.discard(key)
 
-    def _prepare_cold(self, work: Work, targets: list[Target], now: float) -> None:
-        """Give each cold target of a service this entry's part of its rate."""
+    def _assign_cold_rates(self, work: Work, targets: list[Target], now: float) -> None:
+        """Assign each cold target of a service this entry's share of its allowed rate."""
         assert self.configuration is not None
         service = self.configuration.services_by_name.get(work.service)
         if service is None or service.cold_per_s <= 0.0:
@@ -359,7 +367,7 @@
         for target in targets:
             if target.cold_until > now and target.cold_rate is None:
                 target.cold_rate = cold_bucket(
-                    self.me,
+                    self.entry_id,
                     self.entries,
                     target.registration.target_id,
                     service.cold_per_s,
@@ -367,16 +375,16 @@
                 )
 
     def _retry_after(self, work: Work, now: float) -> float:
-        """Return when a slot of the service may be free: one mean working time from now.
+        """Return seconds until a slot of the service may be free: its mean working time.
 
-        Where all servers rest it is when the first of them takes requests again.
+        If all servers are backing off, return the seconds until the first of them accepts requests.
         """
         targets = self.targets.in_regions(work.service, work.regions or frozenset())
         free_at = min((target.rest_until for target in targets), default=now)
         if free_at > now:
             return free_at - now
-        mean = self.times.service_mean(work.service, work.route.goal)
-        return min(MOST_RETRY_AFTER, max(LEAST_RETRY_AFTER, mean))
+        mean = self.work_times.service_mean(work.service, work.route.goal)
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, mean))
 
     def _turns(self, route: Route) -> WeightedTurns:
         known = self._turns_by_route.get(route.name)
@@ -386,10 +394,10 @@
         self._turns_by_route[route.name] = (route, turns)
         return turns
 
-    def _budget(self, service: str) -> RetryBudget:
-        budget = self._budget_by_service.get(service)
+    def _retry_budget(self, service: str) -> RetryBudget:
+        budget = self._retry_budget_by_service.get(service)
         if budget is None:
             bounds = self._bounds
             budget = RetryBudget(bounds.retry_ratio, bounds.retry_window, bounds.retry_slack)
-            self._budget_by_service[service] = budget
+            self._retry_budget_by_service[service] = budget
         return budget
--- a/briarspur/gateway/work.py
+++ b/briarspur/gateway/work.py
@@ -1,4 +1,4 @@
-"""A request on its way: what came, what it needs, and its attempts at backend servers."""
+"""The state of a request: the request as received, its requirements and its attempts."""
 
 import math
 from dataclasses import dataclass, field
@@ -9,10 +9,10 @@
 from briarspur.gateway.target import Target
 
 __all__ = [
-    "LEAST_RETRY_AFTER",
-    "MOST_RETRY_AFTER",
-    "SHORTEST_TRY",
-    "STARTING_RETRY_AFTER",
+    "MAX_RETRY_AFTER_S",
+    "MIN_ATTEMPT_S",
+    "MIN_RETRY_AFTER_S",
+    "STARTING_RETRY_AFTER_S",
     "Arrival",
     "Attempt",
     "Bounds",
@@ -20,31 +20,31 @@
     "Work",
 ]
 
-SHORTEST_TRY = 0.02
-"""Seconds; a request with less time left is not sent, since no answer could come back in time."""
+MIN_ATTEMPT_S = 0.02
+"""A request with less time left is not sent, since no answer could arrive in time."""
 HEDGE_FACTOR = 3.0
-HEDGE_SLACK = 0.15
-"""A repeatable request that has taken three times as long as expected, and 150 ms more, is sent to
-a second server: by then a lost connection or a stalled server is likelier than a long piece of
-work, whose longest is three times the mean."""
-LEAST_RETRY_AFTER = 0.05
-MOST_RETRY_AFTER = 1.0
-"""Seconds; bounds of the time after which a refused caller may come back."""
-STARTING_RETRY_AFTER = 0.4
-"""Seconds after which a caller may come back to an entry that has just started."""
+HEDGE_SLACK_S = 0.15
+"""A repeatable request that has taken three times the expected time plus 150 ms is also sent to a
+second server: by then a lost connection or a stalled server is likelier than a long piece of work,
+since the longest work takes three times the mean."""
+MIN_RETRY_AFTER_S = 0.05
+MAX_RETRY_AFTER_S = 1.0
+"""Bounds of the Retry-After time of a refusal."""
+STARTING_RETRY_AFTER_S = 0.4
+"""Retry-After time of an entry that has just started."""
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Figures of the deployment; times in seconds.
+    """Limits that a deployment configures; times in seconds.
 
     Attributes
     ----------
     configuration_s : float
-        Time in which a configuration must be in force after its acknowledgement.
+        Time within which an acknowledged configuration must be applied.
     revoke_s : float
-        Time after which an entry that can't know which keys were taken away admits none; infinite
-        if it goes on with those that it knows.
+        Time after which an entry that can't learn of revoked keys accepts no keys at all; infinite
+        if it continues to accept the keys it knows.
     """
 
     retry_ratio: float = 0.2
@@ -59,30 +59,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request as it came.
+    """A request as received.
 
     Attributes
     ----------
-    patience : float
-        Seconds the caller will wait; infinite if it did not say.
+    timeout : float
+        Seconds the caller will wait; infinite if it named no limit.
     size : int
-        Bytes of its body.
+        Size of the body in bytes.
     key_digest : bytes or None
-        Stands for the API key that it carries; None if it carries none.
+        Digest of the request's API key; None if it has none.
     """
 
     request_id: str
     host: str
     path: str
     key: bytes | None
-    patience: float
+    timeout: float
     size: int = 0
     key_digest: bytes | None = field(default=None, repr=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A final answer of our own to a request that was not run."""
+    """The gateway's own final answer to a request that was not run."""
 
     code: Code
     retry_after: float | None = None
@@ -91,14 +91,15 @@
 
 @dataclass(slots=True)
 class Work:
-    """One request on its way.
+    """A request that was accepted and its progress.
 
     Attributes
     ----------
     customer : Customer or None
-        Whose request it is; None if it needs no key and carries none that is known.
-    regions : frozenset of str
-        Where it may run by its route and its customer; None if they have no region in common.
+        The customer who sent it; None if the route needs no key and the request has no known one.
+    regions : frozenset of str or None
+        Regions that both its route and its customer allow, empty if any region is allowed; None if
+        they have no region in common.
     """
 
     request_id: str
@@ -118,14 +119,14 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One sending of a request.
+    """One attempt to run a request at a backend server.
 
     Attributes
     ----------
     queued : bool
-        Others were before it at the server, so that its time says little about the work.
-    warms : bool
-        It is the first of its object there, as far as known.
+        Whether it had to queue at the server, so that its time is no sample of the working time.
+    warms_object : bool
+        Whether it is the server's first request for its object, as far as this entry knows.
     """
 
     work: Work
@@ -135,10 +136,10 @@
     transit: float
     queued: bool
     started: float
-    warms: bool = False
+    warms_object: bool = False
     ended: bool = False
 
     @property
     def overdue_after(self) -> float:
-        """Seconds after its start when it is suspiciously late."""
-        return HEDGE_FACTOR * self.expected + HEDGE_SLACK
+        """Seconds from the start after which the attempt is overdue."""
+        return HEDGE_FACTOR * self.expected + HEDGE_SLACK_S
--- a/briarspur/platform/dialect.py
+++ b/briarspur/platform/dialect.py
@@ -42,7 +42,7 @@
             host=_text(last_value(headers, b"host")),
             path=uri.decode("latin-1"),
             key=last_value(headers, names.AFFINITY_KEY),
-            patience=_patience(last_value(headers, names.DEADLINE_MS)),
+            timeout=_patience(last_value(headers, names.DEADLINE_MS)),
             size=size,
             key_digest=_key_digest(headers),
         )
--- a/tests/gateway/exchanging.py
+++ b/tests/gateway/exchanging.py
@@ -130,7 +130,7 @@
             recorder = Recorder()
             pool = ConnectionPool(the_reactor())
             services = Services(made, pool, the_reactor(), PlatformDialect(), recorder)
-            item = begun(made, now, path=path, patience=patience)
+            item = begun(made, now, path=path, timeout=patience)
             headers = Headers({b"X-Request-Id": [b"r-1"], b"Host": [b"quay.example"]})
             exchange = Exchange(
                 services,
--- a/tests/gateway/fleetload.py
+++ b/tests/gateway/fleetload.py
@@ -84,10 +84,10 @@
                 self.add_server(f"{zone}-s{number}", zone, 0.0)
 
     def _entry(self, zone: str) -> Steering:
-        made = Steering(f"entry-{zone}", zone, ZONES[zone], ZONES, Bounds())
-        made.configuration_accepted(configuration(1, [self._route]))
-        made.entries_changed([f"entry-{name}" for name in ZONES])
-        return made
+        core = Steering(f"entry-{zone}", zone, ZONES[zone], ZONES, Bounds())
+        core.apply_configuration(configuration(1, [self._route]))
+        core.set_live_entries([f"entry-{name}" for name in ZONES])
+        return core
 
     def add_server(self, name: str, zone: str, now: float) -> None:
         """Let a server join."""
@@ -147,7 +147,7 @@
         server = self._servers[step.target.registration.target_id]
         run.region = ZONES[server.zone]
         way = self._way(zone, server.zone)
-        if step.warms:
+        if step.warms_object:
             self._warmed.append((zone, step.target.number, work.key or 0))
         self._at(now + way / 2.0, lambda at: self._reach(zone, server, step, run, at))
 
@@ -169,7 +169,7 @@
 
     def _rejected(self, zone: str, attempt: Attempt, run: Run, now: float) -> None:
         entry = self._entries[zone]
-        entry.ended(attempt, Outcome.REJECTED, now)
+        entry.attempt_ended(attempt, Outcome.REJECTED, now)
         step = entry.retry(attempt.work, Outcome.REJECTED, now)
         if isinstance(step, Attempt):
             step.target.in_flight -= 1
@@ -177,8 +177,8 @@
 
     def _answered(self, zone: str, attempt: Attempt, run: Run, now: float) -> None:
         run.ended = now
-        self._entries[zone].answer_size(attempt.work, self._size)
-        self._entries[zone].ended(attempt, Outcome.ANSWERED, now)
+        self._entries[zone].record_answer_size(attempt.work, self._size)
+        self._entries[zone].attempt_ended(attempt, Outcome.ANSWERED, now)
 
     def _tell(self, now: float) -> None:
         """Let what each entry said a period ago reach the others, and take what it says now."""
--- a/tests/gateway/noticefleet.py
+++ b/tests/gateway/noticefleet.py
@@ -142,7 +142,7 @@
             self.counts,
             dict,
             lambda: 0.0,
-            self.steering.uses,
+            self.steering.usage_counts,
             self.steering.quotas.worth_telling,
             self.steering,
         )
@@ -211,9 +211,9 @@
     def _begin(self, entry: _Entry) -> None:
         for other in self.entries_by_name.values():
             entry.fleet.recorded(other.record)
-        entry.steering.fleet_recorded(entry.fleet.size)
+        entry.steering.set_recorded_fleet_size(entry.fleet.size)
         served = replace(route(timeout=PATIENCE), goal=1.0)
-        entry.steering.configuration_accepted(configuration(1, [served]))
+        entry.steering.apply_configuration(configuration(1, [served]))
         for number, server in enumerate(self.servers):
             made = registration(server.name, zone=f"z-{number % self._zones}", slots=3)
             entry.steering.targets.registered(made, self._now)
@@ -260,7 +260,7 @@
         return {
             entry_id
             for entry_id, entry in self.entries_by_name.items()
-            if entry.steering.notices_to_tell(True, now).limits
+            if entry.steering.notices_to_report(True, now).limits
         }
 
     def pause_callers(self, until: float) -> None:
@@ -291,8 +291,8 @@
             return
         entry.gossip.members_changed(now)
         entry.steering.loads.expire(now)
-        entry.steering.entries_changed(entry.fleet.entry_ids(now))
-        entry.steering.fleet_heard(entry.fleet.heard_size(now))
+        entry.steering.set_live_entries(entry.fleet.entry_ids(now))
+        entry.steering.set_live_fleet_size(entry.fleet.heard_size(now))
         entry.steering.limits.forget(now)
         self._at(now + TICK, lambda at: self._tick(entry, at))
 
@@ -335,7 +335,7 @@
         if steering.targets.get(server.name) is not attempt.target:
             return
         self._note(name, server, attempt, now)
-        steering.ended(attempt, Outcome.ANSWERED, now)
+        steering.attempt_ended(attempt, Outcome.ANSWERED, now)
 
     def _reject(self, name: str, server: NoticeServer, attempt: Attempt, now: float) -> None:
         steering = self.entries_by_name[name].steering
@@ -343,7 +343,7 @@
             return
         server.asked_at.setdefault(name, []).append(now)
         self._note(name, server, attempt, now)
-        steering.ended(attempt, Outcome.REJECTED, now)
+        steering.attempt_ended(attempt, Outcome.REJECTED, now)
         self._send(name, steering.retry(attempt.work, Outcome.REJECTED, now), now)
 
     def _note(self, name: str, server: NoticeServer, attempt: Attempt, now: float) -> None:
@@ -352,7 +352,7 @@
             server.told_at.setdefault(name, now)
         if notice.leaving:
             server.left_at.setdefault(name, now)
-        self.entries_by_name[name].steering.noticed(attempt.target, notice, now)
+        self.entries_by_name[name].steering.record_notice(attempt.target, notice, now)
 
     def _at(self, moment: float, event: Callable[[float], None]) -> None:
         heapq.heappush(self._events, (moment, next(self._numbers), event))
--- a/tests/gateway/samples.py
+++ b/tests/gateway/samples.py
@@ -1,4 +1,4 @@
-"""Small configurations, targets and steerings for tests of the gateway."""
+"""Small configurations, targets and decision cores (``Steering``) for tests of the gateway."""
 
 from collections.abc import Sequence
 
@@ -55,32 +55,32 @@
 def steering(
     targets: int = 3,
     routes: Sequence[Route] = (),
-    me: str = "entry-1",
+    entry_id: str = "entry-1",
     bounds: Bounds | None = None,
     slots: int = 2,
 ) -> Steering:
-    """Return a steering with a configuration and some targets of the service ``info``."""
-    made = Steering(me, "a-1", "a", ZONE_REGIONS, bounds or Bounds())
-    made.configuration_accepted(configuration(1, routes))
+    """Return a decision core with a configuration and some targets of the service ``info``."""
+    core = Steering(entry_id, "a-1", "a", ZONE_REGIONS, bounds or Bounds())
+    core.apply_configuration(configuration(1, routes))
     for number in range(targets):
-        made.targets.registered(registration(f"t-{number}", slots=slots), 0.0)
-    return made
+        core.targets.registered(registration(f"t-{number}", slots=slots), 0.0)
+    return core
 
 
 def arrival(
-    request_id: str = "r-1", path: str = "/times/x", key: bytes | None = b"7", patience: float = 2.0
+    request_id: str = "r-1", path: str = "/times/x", key: bytes | None = b"7", timeout: float = 2.0
 ) -> Arrival:
-    return Arrival(request_id, "quay.example", path, key, patience)
+    return Arrival(request_id, "quay.example", path, key, timeout)
 
 
-def begun(made: Steering, now: float = 0.0, **fields: object) -> Work:
-    work = made.begin(arrival(**fields), now)  # type: ignore[arg-type]
+def begun(core: Steering, now: float = 0.0, **fields: object) -> Work:
+    work = core.begin(arrival(**fields), now)  # type: ignore[arg-type]
     assert isinstance(work, Work), work
     return work
 
 
-def sent(made: Steering, work: Work, now: float = 0.0) -> Attempt:
-    attempt = made.next_attempt(work, now)
+def sent(core: Steering, work: Work, now: float = 0.0) -> Attempt:
+    attempt = core.next_attempt(work, now)
     assert isinstance(attempt, Attempt), attempt
     work.sent += 1
     return attempt
--- a/tests/gateway/test_applier.py
+++ b/tests/gateway/test_applier.py
@@ -111,17 +111,17 @@
             value = entry_value()
             self.applier.changed(Kind.ENTRIES, [StoredChange(f"e-{number}", 1, value)], Way.WATCH)
         self.fleet.heard(MemberSeen("e-1", 1, False, 0.0), 0.0)
-        self.steering.entries_changed(self.fleet.entry_ids(0.0))
+        self.steering.set_live_entries(self.fleet.entry_ids(0.0))
         for number in range(9):
             self.target(f"t-{number}", 1)
         retried = 0
         for number in range(50):
             work = begun(self.steering, key=b"%d" % number)
-            self.steering.ended(sent(self.steering, work), Outcome.REJECTED, 0.0)
+            self.steering.attempt_ended(sent(self.steering, work), Outcome.REJECTED, 0.0)
             again = self.steering.retry(work, Outcome.REJECTED, 0.0)
             if isinstance(again, Attempt):
                 retried += 1
-                self.steering.ended(again, Outcome.ANSWERED, 0.0)
+                self.steering.attempt_ended(again, Outcome.ANSWERED, 0.0)
         self.assertLessEqual(retried, 100 // 25)
         self.assertGreater(retried, 0)
 
--- a/tests/gateway/test_customers.py
+++ b/tests/gateway/test_customers.py
@@ -17,7 +17,7 @@
 def steering(customers: Customers, bounds: Bounds | None = None, **fields: object) -> Steering:
     made = Steering("entry-1", "a-1", "a", ZONE_REGIONS, bounds or Bounds())
     shaped = replace(route(), **fields)  # type: ignore[arg-type]
-    made.configuration_accepted(replace(configuration(1, [shaped]), customers=customers))
+    made.apply_configuration(replace(configuration(1, [shaped]), customers=customers))
     for number, zone in enumerate(ZONE_REGIONS):
         made.targets.registered(registration(f"t-{number}", zone=zone), 0.0)
     return made
--- a/tests/gateway/test_notice_machine.py
+++ b/tests/gateway/test_notice_machine.py
@@ -62,9 +62,9 @@
         if not self.running:
             return
         attempt = self.running.pop(0)
-        self.steering.noticed(attempt.target, notice, self.now)
+        self.steering.record_notice(attempt.target, notice, self.now)
         self._model(attempt.target.number, notice)
-        self.steering.ended(attempt, outcome, self.now)
+        self.steering.attempt_ended(attempt, outcome, self.now)
         if outcome is Outcome.REJECTED:
             again = self.steering.retry(attempt.work, outcome, self.now)
             if isinstance(again, Attempt):
@@ -88,7 +88,7 @@
         leaving = (target.number,) if leaves else ()
         steps = self.limits.get(target.number, [])
         later = not steps or steps[-1][0] < self.now - 0.7
-        self.steering.take_notices(ToldNotices(told if later else (), leaving), self.now)
+        self.steering.record_notices(ToldNotices(told if later else (), leaving), self.now)
         self._model(target.number, ServerNotice(limit if later else None, leaves))
 
     @rule(name=NAMES, restarts=st.booleans())
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -20,8 +20,8 @@
 class Servers:
     """Servers with slots and a first-come queue; a first request of an object takes longer."""
 
-    def __init__(self, made: Steering) -> None:
-        self.made = made
+    def __init__(self, core: Steering) -> None:
+        self.core = core
         self.free: dict[str, list[float]] = {}
         self.known: dict[str, OrderedDict[int | None, None]] = {}
         self.warm = 0
@@ -51,9 +51,9 @@
             end, _, attempt, done = heapq.heappop(self.events)
             if done > attempt.work.deadline:
                 self.lost += 1
-                self.made.ended(attempt, Outcome.TIMED_OUT, end)
+                self.core.attempt_ended(attempt, Outcome.TIMED_OUT, end)
                 continue
-            self.made.ended(attempt, Outcome.ANSWERED, end)
+            self.core.attempt_ended(attempt, Outcome.ANSWERED, end)
             if done - attempt.work.arrived <= GOAL:
                 self.in_time += 1
             else:
@@ -62,8 +62,8 @@
 
 def play(per_s: float, seconds: float, keys: int) -> Servers:
     """Play a steady load; every request asks for one of some objects in turn."""
-    made = steering(TARGETS, [route(timeout=TIMEOUT)], slots=SLOTS)
-    servers = Servers(made)
+    core = steering(TARGETS, [route(timeout=TIMEOUT)], slots=SLOTS)
+    servers = Servers(core)
     go_on(servers, 0.0, per_s, seconds, keys)
     servers.settle(seconds + 10.0)
     return servers
@@ -71,12 +71,12 @@
 
 def go_on(servers: Servers, start: float, per_s: float, seconds: float, keys: int) -> None:
     """Play a load from a moment on."""
-    made = servers.made
+    core = servers.core
     for number in range(int(per_s * seconds)):
         now = start + number / per_s
         servers.settle(now)
-        work = begun(made, now, key=b"%d" % (number * 7 % keys), patience=TIMEOUT)
-        step = made.next_attempt(work, now)
+        work = begun(core, now, key=b"%d" % (number * 7 % keys), timeout=TIMEOUT)
+        step = core.next_attempt(work, now)
         if isinstance(step, Attempt):
             servers.send(step, now)
         else:
@@ -111,8 +111,8 @@
         all of them. From then on each server was sent some 40 of them, and a third of the work
         was cold for as long as the load lasted; now an eighth is.
         """
-        made = steering(TARGETS, [route(timeout=TIMEOUT)], slots=SLOTS)
-        servers = Servers(made)
+        core = steering(TARGETS, [route(timeout=TIMEOUT)], slots=SLOTS)
+        servers = Servers(core)
         go_on(servers, 0.0, 30.0, 10.0, keys=60)
         go_on(servers, 10.0, 200.0, 2.0, keys=60)
         go_on(servers, 12.0, 40.0, 10.0, keys=60)
@@ -129,8 +129,8 @@
         five seconds 133 were answered in time and 364 late. Now 484 are in time; what would only
         have been late is refused at once.
         """
-        made = steering(TARGETS, [route(timeout=TIMEOUT)], slots=SLOTS)
-        servers = Servers(made)
+        core = steering(TARGETS, [route(timeout=TIMEOUT)], slots=SLOTS)
+        servers = Servers(core)
         go_on(servers, 0.0, 60.0, 10.0, keys=20)
         go_on(servers, 12.0, 14_400.0, 0.05, keys=20)
         servers.in_time = servers.late = servers.refused = 0
--- a/tests/gateway/test_requestlog.py
+++ b/tests/gateway/test_requestlog.py
@@ -30,7 +30,7 @@
             work = begun(made, self.now, request_id=f"r-{number}")
             attempt = sent(made, work, self.now)
             self.log.attempt_started(attempt, 1, "first")
-            made.ended(attempt, Outcome.ANSWERED, self.now)
+            made.attempt_ended(attempt, Outcome.ANSWERED, self.now)
             self.log.attempt_ended(attempt, Outcome.ANSWERED, "", self.now)
             self.log.request_ended(work, code, 200, self.now)
 
--- a/tests/gateway/test_server_rest.py
+++ b/tests/gateway/test_server_rest.py
@@ -35,8 +35,8 @@
         """Guards against a short rest, asked for later, that ends a longer one."""
         made = steering(1)
         target = sent(made, begun(made)).target
-        made.noticed(target, ServerNotice(rest=3.0), 1.0)
-        made.noticed(target, ServerNotice(rest=0.5), 1.2)
+        made.record_notice(target, ServerNotice(rest=3.0), 1.0)
+        made.record_notice(target, ServerNotice(rest=0.5), 1.2)
         self.assertTrue(target.rests(3.9))
         self.assertFalse(target.rests(4.0))
 
@@ -44,7 +44,7 @@
         """Guards against callers that wait, or come back too soon, while no server takes them."""
         made = steering(2)
         for target, rest in zip(made.targets.by_service["info"], (3.0, 2.0), strict=True):
-            made.noticed(target, ServerNotice(rest=rest), 1.0)
+            made.record_notice(target, ServerNotice(rest=rest), 1.0)
         refused = made.next_attempt(begun(made, 1.5), 1.5)
         assert isinstance(refused, Refused)
         self.assertIs(Code.OVERLOADED, refused.code)
@@ -55,8 +55,8 @@
         """Guards against a rest that also costs the pause of a server that failed."""
         made = steering(1)
         attempt = sent(made, begun(made))
-        made.noticed(attempt.target, ServerNotice(rest=2.0), 0.1)
-        made.ended(attempt, Outcome.REJECTED, 0.1)
+        made.record_notice(attempt.target, ServerNotice(rest=2.0), 0.1)
+        made.attempt_ended(attempt, Outcome.REJECTED, 0.1)
         self.assertIsInstance(made.next_attempt(begun(made, 2.05), 2.05), Refused)
         self.assertIsInstance(made.next_attempt(begun(made, 2.2), 2.2), Attempt)
 
@@ -64,8 +64,8 @@
         made = steering(2)
         work = begun(made)
         first = sent(made, work)
-        made.noticed(first.target, ServerNotice(rest=2.0), 0.1)
-        made.ended(first, Outcome.REJECTED, 0.1)
+        made.record_notice(first.target, ServerNotice(rest=2.0), 0.1)
+        made.attempt_ended(first, Outcome.REJECTED, 0.1)
         again = made.retry(work, Outcome.REJECTED, 0.1)
         assert isinstance(again, Attempt)
         self.assertIsNot(first.target, again.target)
--- a/tests/gateway/test_warmcopies.py
+++ b/tests/gateway/test_warmcopies.py
@@ -15,34 +15,34 @@
 
 def deployment() -> Steering:
     """Return the entry of zone a-1, with servers in both zones of its region."""
-    made = steering(0, [route(), UPLOAD], slots=4)
+    core = steering(0, [route(), UPLOAD], slots=4)
     for number, zone in enumerate(("a-1", "a-1", "a-2", "a-2")):
-        made.targets.registered(registration(f"t-{number}", zone=zone, slots=4), 0.0)
-    for target in made.targets.by_number.values():
+        core.targets.registered(registration(f"t-{number}", zone=zone, slots=4), 0.0)
+    for target in core.targets.by_number.values():
         for key in (1, 2, 3):
             target.warmth.add(key)
     for name in ("times", "notes"):
-        times = made.times.route(name, 0.25)
+        times = core.work_times.route(name, 0.25)
         times.warm, times.cold = WARM, COLD
-    return made
+    return core
 
 
-def warm_only_at(made: Steering, target_id: str, path: str, key: bytes) -> int:
-    work = made.begin(Arrival("r", "quay.example", path, key, 2.0), 0.0)
+def warm_only_at(core: Steering, target_id: str, path: str, key: bytes) -> int:
+    work = core.begin(Arrival("r", "quay.example", path, key, 2.0), 0.0)
     assert isinstance(work, Work) and work.key is not None
-    target = made.targets.get(target_id)
+    target = core.targets.get(target_id)
     assert target is not None
     target.warmth.add(work.key)
     return work.key
 
 
-def place(made: Steering, path: str, key: bytes, size: int) -> str:
+def place(core: Steering, path: str, key: bytes, size: int) -> str:
     """Send one request, let it end, and return the zone that it ran in."""
-    work = made.begin(Arrival("r", "quay.example", path, key, 2.0, size), 0.0)
+    work = core.begin(Arrival("r", "quay.example", path, key, 2.0, size), 0.0)
     assert isinstance(work, Work)
-    attempt = made.next_attempt(work, 0.0)
+    attempt = core.next_attempt(work, 0.0)
     assert isinstance(attempt, Attempt)
-    made.ended(attempt, Outcome.ABANDONED, 0.0)
+    core.attempt_ended(attempt, Outcome.ABANDONED, 0.0)
     return attempt.target.registration.zone
 
 
@@ -54,26 +54,26 @@
     """
 
     def test_an_object_of_large_bodies_comes_near_after_few_requests(self) -> None:
-        made = deployment()
-        warm_only_at(made, "t-2", "/notes/x", b"7")
-        zones = [place(made, "/notes/x", b"7", 30_000) for _ in range(10)]
+        core = deployment()
+        warm_only_at(core, "t-2", "/notes/x", b"7")
+        zones = [place(core, "/notes/x", b"7", 30_000) for _ in range(10)]
         self.assertEqual("a-2", zones[0])
         self.assertEqual(["a-1"] * 7, zones[3:])
 
     def test_an_object_of_small_bodies_stays_where_it_is(self) -> None:
-        made = deployment()
-        warm_only_at(made, "t-2", "/times/x", b"7")
-        zones = {place(made, "/times/x", b"7", 400) for _ in range(50)}
+        core = deployment()
+        warm_only_at(core, "t-2", "/times/x", b"7")
+        zones = {place(core, "/times/x", b"7", 400) for _ in range(50)}
         self.assertEqual({"a-2"}, zones)
 
     def test_under_load_no_server_is_asked_for_a_cold_run(self) -> None:
-        made = deployment()
-        warm_only_at(made, "t-2", "/notes/x", b"7")
+        core = deployment()
+        warm_only_at(core, "t-2", "/notes/x", b"7")
         for name, load in (("t-0", 2), ("t-1", 2), ("t-2", 3), ("t-3", 4)):
-            target = made.targets.get(name)
+            target = core.targets.get(name)
             assert target is not None
             target.elsewhere = load
-        zones = {place(made, "/notes/x", b"7", 2_000) for _ in range(60)}
+        zones = {place(core, "/notes/x", b"7", 2_000) for _ in range(60)}
         self.assertEqual({"a-2"}, zones)
 
 
--- a/tools/choosecost.py
+++ b/tools/choosecost.py
@@ -42,9 +42,7 @@
         priority=1,
         sticky=True,
     )
-    made.configuration_accepted(
-        Configuration(1, (route,), {"info": Service("info", 100, 3.0, 5.0)})
-    )
+    made.apply_configuration(Configuration(1, (route,), {"info": Service("info", 100, 3.0, 5.0)}))
     zones = sorted(ZONES)
     for n in range(servers):
         registration = Registration(
