--- a/briarspur/gateway/admission.py
+++ b/briarspur/gateway/admission.py
@@ -1,56 +1,61 @@
-"""Whether a server may take a request: what its caller gains, and what those behind it lose.
+"""Admission control: whether a request may queue at a server.
 
-The load this answers: more requests than the servers bear, for seconds (a burst, a service that
-lost servers) or at once (callers who waited for entries that had all restarted).
+It weighs the benefit for the caller against the delay of the requests behind. The overload that it
+handles is more requests than the servers can serve, either for seconds (a burst, a service that
+lost servers) or at once (callers that waited for entries which had all restarted).
 """
 
 from collections.abc import Sequence
 
 from briarspur.gateway.target import Target
 
-__all__ = ["LONGEST_WAIT", "COPY_PRESSURE", "SPREAD_PRESSURE", "may_queue", "pressure"]
-
-LONGEST_WAIT = 1.0
-"""Share of a route's goal that a request may wait for its turn where the goal is out of reach. Over
-the five heavy days of each of two deployments, one run each: at 0.4 the mean worth was 0.627 and
-0.502, at 1.0 0.639 and 0.582; unbounded, entries that had restarted stayed late for 15 s."""
-COPY_PRESSURE = 0.6
-"""Share of a service's slots up to which objects are made warm once more to save their way. Above,
-each cold run keeps slots from requests that would have met their goal."""
-SPREAD_PRESSURE = 0.8
-"""Share of a service's slots up to which a request whose warm servers are busy may go to another
-one that is not idle either. Without this bound objects spread over more servers than keep them,
-until all work was cold: the share of worth earned on a heavy day was 0.56 instead of 0.81 on one
-deployment and 0.43 instead of 0.89 on a second one. At 0.6 three days gave 0.748, 0.706 and 0.745,
-at 0.8 they gave 0.750, 0.710 and 0.753, with fewer refusals; a fourth
-day gave 0.593 and 0.583, with more (one run each)."""
-
-
-def may_queue(wait: float, finish: float, goal: float, soonest: float) -> bool:
-    """Tell whether a request may be sent to a server where it would wait.
-
-    A request that waits and is late all the same takes a slot, when its turn comes, from one that
-    could have met its goal. With queues as long as the goal every answer was late, and stayed so:
-    after the loss of all entries 155 of 1,491 requests met their goal in the third and fourth
-    second, 840 with this rule; over the burst of that day 3,100 of 4,623 instead of 2,510 (one run
-    each). Who is refused may come back and find a shorter queue.
+__all__ = [
+    "MAX_COPY_UTILIZATION",
+    "MAX_LATE_WAIT_SHARE",
+    "MAX_SPREAD_UTILIZATION",
+    "may_queue",
+    "utilization",
+]
+
+MAX_LATE_WAIT_SHARE = 1.0
+"""Share of a route's goal that a request may queue when even an idle server can't meet the goal.
+Without a bound, answers of restarted entries were late for 15 s."""
+MAX_COPY_UTILIZATION = 0.6
+"""Share of a service's slots in use up to which an object is warmed up at a second server to save
+transfers between zones. Above it, each cold run takes slots from requests that would have met their
+goal."""
+MAX_SPREAD_UTILIZATION = 0.8
+"""Share of a service's slots in use up to which a request whose warm servers are busy may go to a
+cold server that isn't idle either. Without this bound objects spread over more servers than could
+keep them until all work was cold: on a heavy day the share of worth earned fell from 0.81 to 0.56
+in one deployment and from 0.89 to 0.43 in another."""
+
+
+def may_queue(wait: float, response_time: float, goal: float, idle_response_time: float) -> bool:
+    """Return whether a request may be sent to a server where it would queue.
+
+    A request that queues and is late nevertheless takes a slot from one that could have met its
+    goal. With queues as long as the goal every answer was late and stayed so: in the third and
+    fourth second after the loss of all entries 155 of 1,491 requests met their goal, with this rule
+    840; in a burst 2,510 of 4,623 did, with this rule 3,100. A refused caller may retry and find a
+    shorter queue.
 
     Parameters
     ----------
-    wait, finish : float
-        Seconds until the work begins, and until the answer is there.
+    wait, response_time : float
+        Seconds until the work begins, and until the answer is complete.
     goal : float
         Seconds within which the answer is useful.
-    soonest : float
-        Seconds that an idle server would take. If that is beyond the goal, nobody's goal can be met
-        by refusing others, and only the length of the wait counts.
+    idle_response_time : float
+        Seconds that an idle server would take. If it exceeds the goal, refusing this request lets
+        no other one meet its goal, so only the length of the wait is bounded.
     """
-    if wait <= 0.0 or finish <= goal:
+    if wait <= 0.0 or response_time <= goal:
         return True
-    return soonest > goal and wait <= LONGEST_WAIT * goal
+    return idle_response_time > goal and wait <= MAX_LATE_WAIT_SHARE * goal
 
 
-def pressure(targets: Sequence[Target]) -> float:
-    """Return the requests that the servers of a service have, as a share of their slots."""
+def utilization(targets: Sequence[Target]) -> float:
+    """Return the requests at the servers of a service as a share of their slots."""
     slots = sum(target.registration.slots for target in targets)
     return sum(target.load for target in targets) / max(1, slots)
--- a/briarspur/gateway/preference.py
+++ b/briarspur/gateway/preference.py
@@ -1,12 +1,12 @@
 """The order in which the servers of a service are preferred for an object.
 
-The callers of an object mostly come from one region. So its servers are looked for there first, by
-rendezvous, in an order that all entries of the region share and that a restart doesn't change. A
-server that knows more objects than its part is passed over, so that a region with many callers and
-few servers sends a part of its objects to the others.
+The callers of an object mostly come from one region. So servers of that region are preferred, in a
+rendezvous order that all entries of the region share and that survives restarts. A server with more
+warm objects than its fair share is ranked lower, so that a region with many callers and few servers
+sends some of its objects to the other regions.
 
-In one run of a quiet day with 27 MB of answers the bytes between regions fell from 12 to 4 MB, and
-answers were as often in time as with one order over all regions.
+Compared with one order over all regions, this reduced the bytes between regions from 12 to 4 MB on
+a quiet day with 27 MB of answers, while as many answers were in time.
 """
 
 from collections.abc import Iterator, Sequence
@@ -17,41 +17,40 @@
 from briarspur.coord.rendezvous import weight
 from briarspur.gateway.target import Target
 
-__all__ = ["Distance", "Nearness", "Preferences", "Ranked"]
+__all__ = ["Distance", "DistanceLookup", "Preferences", "Ranked"]
 
-CANDIDATES = 12
-"""Servers of either kind, near and far, that are looked at for an object, besides those where it is
-warm. At 160 servers a look at all would take 0.3 ms of the processor for each request."""
-FULL_PLACES = 8.0
-"""Places that a server comes lower which knows more objects than its part."""
-PART_FACTOR = 1.25
-"""A server's part is a quarter more than the mean of its service."""
+CANDIDATES_PER_GROUP = 12
+"""Servers per group of equal distance that are evaluated for an object, besides those where it is
+warm. Evaluating all of 160 servers would take 0.3 ms of CPU time per request."""
+OVERFULL_PLACES = 8.0
+"""Places by which a server with more warm objects than its fair share is ranked lower."""
+FAIR_SHARE_FACTOR = 1.25
+"""A server's fair share of warm objects, as a multiple of the mean of its service."""
 MAX_CACHED_ORDERS = 5_000
 
 
 class Distance(IntEnum):
-    """Where a server stands, as seen from an entry."""
+    """Distance of a server from an entry: same zone, same region, or other region."""
 
     ZONE = 0
     REGION = 1
     FAR = 2
 
 
-FIRST_PLACES = {Distance.ZONE: 0.0, Distance.REGION: 2.0, Distance.FAR: 4.0}
-"""Places that the first server outside the zone, and outside the region, comes lower. Half and
-twice as many made no difference on four heavy days, one run each."""
+FIRST_PLACE_BY_DISTANCE = {Distance.ZONE: 0.0, Distance.REGION: 2.0, Distance.FAR: 4.0}
+"""Places by which the first server outside the zone, and outside the region, is ranked lower."""
 
 
-class Nearness(Protocol):
-    """Tells which servers are near."""
+class DistanceLookup(Protocol):
+    """Looks up the distance of servers."""
 
     def distance(self, target: Target) -> Distance:
-        """Tell how far a server is from the entry."""
+        """Return the distance of a server from the entry."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ranked:
-    """A server and its place in an object's order; the lower the place, the better."""
+    """A server and its place in an object's order; lower places are preferred."""
 
     target: Target
     place: float
@@ -67,20 +66,23 @@
     within_region: list[Target]
 
     def groups(self, span: Distance) -> list[tuple[float, list[Target]]]:
-        """Return the servers in groups that are ordered as one, with each group's first place."""
+        """Return the groups of servers that share one order, each with its first place."""
         if span is Distance.FAR:
             return [(0.0, self.overall)]
         if span is Distance.REGION:
-            far = (FIRST_PLACES[Distance.FAR], self.by_distance[Distance.FAR])
+            far = (FIRST_PLACE_BY_DISTANCE[Distance.FAR], self.by_distance[Distance.FAR])
             return [(0.0, self.within_region), far]
-        return [(FIRST_PLACES[distance], found) for distance, found in self.by_distance.items()]
+        return [
+            (FIRST_PLACE_BY_DISTANCE[distance], found)
+            for distance, found in self.by_distance.items()
+        ]
 
 
 class Preferences:
     """Orders the servers of services for objects."""
 
-    def __init__(self, nearness: Nearness) -> None:
-        self._nearness = nearness
+    def __init__(self, distances: DistanceLookup) -> None:
+        self._distances = distances
         self._orders: dict[tuple[str, int], _Order] = {}
 
     def ranked(
@@ -91,28 +93,29 @@
         epoch: int,
         span: Distance = Distance.ZONE,
     ) -> list[Ranked]:
-        """Return the servers to be looked at for an object.
+        """Return the servers to evaluate for an object.
 
         Parameters
         ----------
         epoch : int
-            Changes whenever ``targets`` does.
+            Changes whenever ``targets`` changes.
         span : Distance
-            Up to which distance all servers are ordered as one. Entries within it agree on the
-            object's first server without news, so it is made warm once and not once a zone.
+            Distance up to which all servers share one order. Entries within it agree on the
+            object's first server without exchanging news, so the object is warmed up once and not
+            once per zone.
         """
         order = self._order(service, key, targets, epoch)
-        part = PART_FACTOR * mean_objects(targets)
+        fair_share = FAIR_SHARE_FACTOR * mean_warm_objects(targets)
         ranked: list[Ranked] = []
         for first, ordered in order.groups(span):
-            ranked += _places(ordered[:CANDIDATES], first, part)
+            ranked += _ranked(ordered[:CANDIDATES_PER_GROUP], first, fair_share)
         known = {item.target.number for item in ranked}
         for target in targets:
             if key in target.warmth and target.number not in known:
                 ranked.append(Ranked(target, 0.0))
         return ranked
 
-    def first(
+    def first_choices(
         self,
         service: str,
         key: int,
@@ -120,14 +123,14 @@
         epoch: int,
         span: Distance = Distance.ZONE,
     ) -> Iterator[Target]:
-        """Yield the object's first server of each group, as far as there are any."""
+        """Yield the object's first server of each group that has any."""
         for _, ordered in self._order(service, key, targets, epoch).groups(span):
             yield from ordered[:1]
 
     def in_zone(
         self, service: str, key: int, targets: Sequence[Target], epoch: int
     ) -> list[Target]:
-        """Return the servers of the entry's zone in the object's order."""
+        """Return the servers of the entry's own zone in the object's order."""
         return self._order(service, key, targets, epoch).by_distance[Distance.ZONE]
 
     def _order(self, service: str, key: int, targets: Sequence[Target], epoch: int) -> _Order:
@@ -140,21 +143,21 @@
         )
         by_distance: dict[Distance, list[Target]] = {distance: [] for distance in Distance}
         for target in by_weight:
-            by_distance[self._nearness.distance(target)].append(target)
+            by_distance[self._distances.distance(target)].append(target)
         if len(self._orders) >= MAX_CACHED_ORDERS:
             self._orders.clear()
-        within = [t for t in by_weight if self._nearness.distance(t) <= Distance.REGION]
+        within = [t for t in by_weight if self._distances.distance(t) <= Distance.REGION]
         order = _Order(epoch, by_weight, by_distance, within)
         self._orders[service, key] = order
         return order
 
 
-def mean_objects(targets: Sequence[Target]) -> float:
-    """Return the mean number of objects that a server is known to have at hand."""
+def mean_warm_objects(targets: Sequence[Target]) -> float:
+    """Return the mean number of objects known to be warm at a server."""
     return sum(len(target.warmth) for target in targets) / max(1, len(targets))
 
 
-def _places(targets: Sequence[Target], first: float, part: float) -> Iterator[Ranked]:
+def _ranked(targets: Sequence[Target], first: float, fair_share: float) -> Iterator[Ranked]:
     for index, target in enumerate(targets):
-        full = FULL_PLACES if len(target.warmth) >= part else 0.0
-        yield Ranked(target, first + index + full)
+        penalty = OVERFULL_PLACES if len(target.warmth) >= fair_share else 0.0
+        yield Ranked(target, first + index + penalty)
--- a/briarspur/gateway/steering.py
+++ b/briarspur/gateway/steering.py
@@ -10,7 +10,7 @@
 
 from briarspur.codes import Code
 from briarspur.gateway.authorization import Authorization
-from briarspur.gateway.chooser import Choice, Chooser, Wish
+from briarspur.gateway.chooser import Choice, Chooser, SelectionCriteria
 from briarspur.gateway.coldstart import cold_bucket
 from briarspur.gateway.configuration import Configuration, Route, WeightedTurns
 from briarspur.gateway.loadview import LoadView
@@ -177,7 +177,7 @@
                 f"{limited} limited, {backing_off} resting"
             )
             return Refused(Code.OVERLOADED, self._retry_after(work, now), detail)
-        if choice.finish > work.deadline - now:
+        if choice.response_time > work.deadline - now:
             detail = (
                 f"best of {len(targets)} targets would wait {choice.wait:.3f} s and work "
                 f"{choice.work:.3f} s, {work.deadline - now:.3f} s left"
@@ -280,16 +280,18 @@
         self, work: Work, regions: frozenset[str], targets: list[Target], now: float
     ) -> Choice | None:
         """Return the best server whose advertised limit, if any, has room for the request."""
-        wish = Wish(work.route, work.service, work.key, work.tried, work.size, regions)
+        criteria = SelectionCriteria(
+            work.route, work.service, work.key, work.tried, work.size, regions
+        )
         full: list[Target] = []
         for _ in range(MAX_CANDIDATE_CHECKS):
-            choice = self._chooser.choose(wish, targets, self.targets.epoch, now)
+            choice = self._chooser.choose(criteria, targets, self.targets.epoch, now)
             if choice is None or self.limits.has_room(choice.target, work.request_id, now):
                 return choice
             full.append(choice.target)
-            wish = replace(wish, full=full)
-        wish = replace(wish, full=[t for t in targets if self.limits.is_limited(t)])
-        return self._chooser.choose(wish, targets, self.targets.epoch, now)
+            criteria = replace(criteria, full=full)
+        criteria = replace(criteria, full=[t for t in targets if self.limits.is_limited(t)])
+        return self._chooser.choose(criteria, targets, self.targets.epoch, now)
 
     def _spend_retry(self, work: Work, now: float) -> Code | None:
         """Take one retry from the budget; return the code that forbids it, None if allowed."""
@@ -322,7 +324,7 @@
             work=work,
             target=target,
             warm=choice.warm,
-            expected=choice.finish,
+            expected=choice.response_time,
             transit=choice.transit,
             queued=queued,
             started=now,
--- a/briarspur/gateway/transit.py
+++ b/briarspur/gateway/transit.py
@@ -55,7 +55,7 @@
         """Return the seconds that are counted for each byte of an answer."""
         return BYTE_COSTS[self.distance(target)]
 
-    def way(self, distance: Distance, size: float) -> float:
+    def path_cost(self, distance: Distance, size: float) -> float:
         """Return the seconds counted for the way to servers at a distance, there and back.
 
         Parameters
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -1,43 +1,43 @@
-"""Tests of the rule by which a request may wait at a server."""
+"""Tests of the rule by which a request may queue at a server."""
 
 import unittest
 
-from briarspur.gateway.admission import LONGEST_WAIT, may_queue, pressure
+from briarspur.gateway.admission import MAX_LATE_WAIT_SHARE, may_queue, utilization
 from tests.gateway.samples import steering
 
 GOAL = 0.5
 
 
 class MayQueueTest(unittest.TestCase):
-    """Who waits must gain by it."""
+    """A request may queue only if its answer is useful."""
 
-    def test_an_idle_server_takes_also_what_will_be_late(self) -> None:
+    def test_an_idle_server_accepts_a_request_that_will_be_late(self) -> None:
         self.assertTrue(may_queue(0.0, 2.0, GOAL, 0.2))
 
-    def test_a_wait_that_ends_in_time_is_taken(self) -> None:
+    def test_a_wait_for_a_timely_answer_is_allowed(self) -> None:
         self.assertTrue(may_queue(0.2, 0.5, GOAL, 0.2))
 
     def test_a_wait_for_a_late_answer_is_refused(self) -> None:
         self.assertFalse(may_queue(0.2, 0.51, GOAL, 0.2))
 
-    def test_where_nobody_can_be_in_time_only_the_wait_is_bounded(self) -> None:
-        """The operator sets a goal of 500 ms for work of 800 ms.
+    def test_if_no_server_can_meet_the_goal_only_the_wait_is_bounded(self) -> None:
+        """Guards against refusals where the operator set a goal of 500 ms for work of 800 ms.
 
-        Refusing all that is late would leave only as many requests as there are slots, though each
-        of them is late as well.
+        Refusing every late request would admit only as many requests as there are slots, though
+        these are late as well.
         """
-        self.assertTrue(may_queue(LONGEST_WAIT * GOAL, 1.3, GOAL, 0.8))
-        self.assertFalse(may_queue(LONGEST_WAIT * GOAL + 0.01, 1.31, GOAL, 0.8))
+        self.assertTrue(may_queue(MAX_LATE_WAIT_SHARE * GOAL, 1.3, GOAL, 0.8))
+        self.assertFalse(may_queue(MAX_LATE_WAIT_SHARE * GOAL + 0.01, 1.31, GOAL, 0.8))
 
 
-class PressureTest(unittest.TestCase):
-    """How much of a service is in use, over all entries."""
+class UtilizationTest(unittest.TestCase):
+    """The share of a service's slots that all entries together use."""
 
     def test_requests_of_all_entries_count(self) -> None:
         targets = list(steering(2, slots=2).targets.by_number.values())
-        self.assertEqual(0.0, pressure(targets))
+        self.assertEqual(0.0, utilization(targets))
         targets[0].in_flight, targets[1].elsewhere = 2, 3
-        self.assertEqual(1.25, pressure(targets))
+        self.assertEqual(1.25, utilization(targets))
 
-    def test_no_server_at_all(self) -> None:
-        self.assertEqual(0.0, pressure([]))
+    def test_a_service_without_servers_has_no_utilization(self) -> None:
+        self.assertEqual(0.0, utilization([]))
--- a/tests/gateway/test_chooser.py
+++ b/tests/gateway/test_chooser.py
@@ -1,10 +1,10 @@
-"""Tests that a server which is chosen without a look at all others is the one that they lose to."""
+"""Tests that the shortcut for warm objects chooses the same server as the evaluation of all."""
 
 import random
 import unittest
 from unittest.mock import patch
 
-from briarspur.gateway.chooser import Choice, Chooser, Wish
+from briarspur.gateway.chooser import Choice, Chooser, SelectionCriteria
 from briarspur.gateway.steering import Steering
 from briarspur.gateway.transit import TransitTimes
 from briarspur.gateway.worktime import WorkTimes
@@ -15,7 +15,7 @@
 
 
 def loaded(rng: random.Random) -> Steering:
-    """Return servers of unlike load, speed and trouble, with some objects at hand."""
+    """Return servers of different load, slowdown and error rate, with some warm objects."""
     core = steering(targets=0)
     for number in range(30):
         zone = rng.choice(list(ZONE_REGIONS))
@@ -30,20 +30,20 @@
     return core
 
 
-class WarmAtOnceTest(unittest.TestCase):
-    """The look at warm servers alone chooses as the look at all does."""
+class WarmShortcutTest(unittest.TestCase):
+    """Evaluating the warm servers alone gives the same choice as evaluating all servers."""
 
-    def chosen(self, core: Steering, key: int, look_at_all: bool) -> Choice | None:
+    def chosen(self, core: Steering, key: int, evaluate_all: bool) -> Choice | None:
         chooser = Chooser(WorkTimes(), TransitTimes("a-1", "a"))
-        wish = Wish(route(), "info", key)
+        criteria = SelectionCriteria(route(), "info", key)
         targets = core.targets.by_service["info"]
-        if not look_at_all:
-            return chooser.choose(wish, targets, core.targets.epoch, 1.0)
-        with patch.object(Chooser, "_undoubtedly_warm", return_value=None):
-            return chooser.choose(wish, targets, core.targets.epoch, 1.0)
+        if not evaluate_all:
+            return chooser.choose(criteria, targets, core.targets.epoch, 1.0)
+        with patch.object(Chooser, "_clearly_best_warm", return_value=None):
+            return chooser.choose(criteria, targets, core.targets.epoch, 1.0)
 
     def test_the_same_server_is_chosen(self) -> None:
-        """Guards against warm servers that are taken though a cold one would answer sooner."""
+        """Guards against choosing a warm server although a cold one would answer sooner."""
         rng = random.Random(7)
         found = 0
         for _ in range(40):
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -1,4 +1,4 @@
-"""Tests of admission: servers under more load than they bear, played without a network."""
+"""Tests of admission: servers under overload, simulated without a network."""
 
 import heapq
 import itertools
@@ -14,11 +14,11 @@
 GOAL, TIMEOUT = 0.25, 0.8
 SLOTS, TARGETS = 4, 3
 MEMORY = 25
-"""Objects that a server keeps at hand; the one used least lately goes first."""
+"""Objects that a server keeps; the least recently used one is evicted first."""
 
 
 class Servers:
-    """Servers with slots and a first-come queue; a first request of an object takes longer."""
+    """Servers with slots and a FIFO queue; the first request for an object takes longer."""
 
     def __init__(self, core: Steering) -> None:
         self.core = core
@@ -43,10 +43,10 @@
             known.popitem(last=False)
         end = min(start + work, max(start, attempt.work.deadline))
         heapq.heapreplace(slots, end)
-        # The number orders what ends at one moment; by address the order differed from run to run.
+        # The number orders events of the same time; by address the order would differ between runs.
         heapq.heappush(self.events, (end, next(self.numbers), attempt, start + work))
 
-    def settle(self, now: float) -> None:
+    def finish_until(self, now: float) -> None:
         while self.events and self.events[0][0] <= now:
             end, _, attempt, done = heapq.heappop(self.events)
             if done > attempt.work.deadline:
@@ -60,21 +60,21 @@
                 self.late += 1
 
 
-def play(per_s: float, seconds: float, keys: int) -> Servers:
-    """Play a steady load; every request asks for one of some objects in turn."""
+def simulate(per_s: float, seconds: float, keys: int) -> Servers:
+    """Simulate a steady load of requests that ask for a number of objects in turn."""
     core = steering(TARGETS, [route(timeout=TIMEOUT)], slots=SLOTS)
     servers = Servers(core)
-    go_on(servers, 0.0, per_s, seconds, keys)
-    servers.settle(seconds + 10.0)
+    simulate_from(servers, 0.0, per_s, seconds, keys)
+    servers.finish_until(seconds + 10.0)
     return servers
 
 
-def go_on(servers: Servers, start: float, per_s: float, seconds: float, keys: int) -> None:
-    """Play a load from a moment on."""
+def simulate_from(servers: Servers, start: float, per_s: float, seconds: float, keys: int) -> None:
+    """Simulate a steady load from a given time on."""
     core = servers.core
     for number in range(int(per_s * seconds)):
         now = start + number / per_s
-        servers.settle(now)
+        servers.finish_until(now)
         work = begun(core, now, key=b"%d" % (number * 7 % keys), timeout=TIMEOUT)
         step = core.next_attempt(work, now)
         if isinstance(step, Attempt):
@@ -84,57 +84,57 @@
 
 
 class OverloadTest(unittest.TestCase):
-    """Three servers of four slots bear 109 warm requests per second."""
+    """Three servers of four slots can serve 109 warm requests per second."""
 
-    def test_a_load_that_fits_is_served_in_time(self) -> None:
-        played = play(70.0, 20.0, keys=20)
+    def test_a_load_below_capacity_is_served_in_time(self) -> None:
+        servers = simulate(70.0, 20.0, keys=20)
         total = 70 * 20
-        self.assertGreater(played.in_time, 0.93 * total)
-        self.assertEqual(0, played.lost)
+        self.assertGreater(servers.in_time, 0.93 * total)
+        self.assertEqual(0, servers.lost)
 
-    def test_under_half_as_much_again_as_they_bear_the_servers_stay_useful(self) -> None:
-        """Callers send 160 requests per second to servers that bear 109.
+    def test_under_one_and_a_half_times_their_capacity_servers_keep_their_throughput(self) -> None:
+        """Guards against queues that make most answers late under overload.
 
-        When a request was sent as long as it met its timeout, all waits grew to the timeout: hardly
-        an answer met its goal and work was lost at the servers. With the bounded wait most of what
-        the servers bear reaches a caller, and nothing is lost.
+        Callers send 160 requests per second to servers that can serve 109. When a request was sent
+        as long as it met its timeout, all waits grew to the timeout: hardly any answer met its goal
+        and work was lost at the servers.
         """
-        played = play(160.0, 20.0, keys=20)
-        self.assertGreater(played.in_time + played.late, 0.85 * 109 * 20)
-        self.assertLess(played.lost, 0.01 * 160 * 20)
-        self.assertGreater(played.refused, 0)
+        servers = simulate(160.0, 20.0, keys=20)
+        self.assertGreater(servers.in_time + servers.late, 0.85 * 109 * 20)
+        self.assertLess(servers.lost, 0.01 * 160 * 20)
+        self.assertGreater(servers.refused, 0)
 
-    def test_after_a_burst_the_servers_find_their_objects_again(self) -> None:
-        """Callers of timetables wait twice as long for minutes after a burst of two seconds.
+    def test_after_a_burst_objects_settle_at_one_server_again(self) -> None:
+        """Guards against a burst of two seconds that doubles the callers' waits for minutes.
 
-        Three servers keep 25 objects each, and 60 are asked for. The burst spread each object over
-        all of them. From then on each server was sent some 40 of them, and a third of the work
-        was cold for as long as the load lasted; now an eighth is.
+        Three servers keep 25 objects each, and 60 are requested. The burst spread each object over
+        all servers. After it each server got requests for about 40 objects, and a third of the work
+        was cold for as long as the load lasted. An eighth is expected.
         """
         core = steering(TARGETS, [route(timeout=TIMEOUT)], slots=SLOTS)
         servers = Servers(core)
-        go_on(servers, 0.0, 30.0, 10.0, keys=60)
-        go_on(servers, 10.0, 200.0, 2.0, keys=60)
-        go_on(servers, 12.0, 40.0, 10.0, keys=60)
+        simulate_from(servers, 0.0, 30.0, 10.0, keys=60)
+        simulate_from(servers, 10.0, 200.0, 2.0, keys=60)
+        simulate_from(servers, 12.0, 40.0, 10.0, keys=60)
         servers.warm = servers.refused = 0
-        go_on(servers, 22.0, 40.0, 10.0, keys=60)
+        simulate_from(servers, 22.0, 40.0, 10.0, keys=60)
         self.assertGreater(servers.warm, 0.8 * 400)
         self.assertEqual(0, servers.refused)
 
     def test_callers_are_served_in_time_soon_after_all_entries_restarted(self) -> None:
-        """All entries restart, and callers who waited for them come back at once.
+        """Guards against queues that stay full after all entries restarted.
 
-        720 requests meet servers that bear 109 a second, and 100 a second follow. As long as a
-        request could wait for its goal, queues stayed that long: of the 500 requests of the next
-        five seconds 133 were answered in time and 364 late. Now 484 are in time; what would only
-        have been late is refused at once.
+        Callers that waited for the entries retry at once: 720 requests arrive at servers that can
+        serve 109 per second, and 100 per second follow. When a request could queue for as long as
+        its goal, queues stayed that long: of the 500 requests of the next five seconds 133 were
+        answered in time and 364 late. With requests refused that would be late, 484 are in time.
         """
         core = steering(TARGETS, [route(timeout=TIMEOUT)], slots=SLOTS)
         servers = Servers(core)
-        go_on(servers, 0.0, 60.0, 10.0, keys=20)
-        go_on(servers, 12.0, 14_400.0, 0.05, keys=20)
+        simulate_from(servers, 0.0, 60.0, 10.0, keys=20)
+        simulate_from(servers, 12.0, 14_400.0, 0.05, keys=20)
         servers.in_time = servers.late = servers.refused = 0
-        go_on(servers, 12.05, 100.0, 5.0, keys=20)
-        servers.settle(30.0)
+        simulate_from(servers, 12.05, 100.0, 5.0, keys=20)
+        servers.finish_until(30.0)
         self.assertGreater(servers.in_time, 0.9 * 500)
         self.assertEqual(0, servers.lost)
--- a/tests/gateway/test_warmcopies.py
+++ b/tests/gateway/test_warmcopies.py
@@ -1,11 +1,11 @@
-"""Tests of objects that are fetched from another zone, and of when they are made warm near."""
+"""Tests of objects that are used in another zone, and of when they are warmed up nearer."""
 
 import unittest
 
 from briarspur.gateway.configuration import RouteKind
 from briarspur.gateway.outcome import Outcome
 from briarspur.gateway.steering import Steering
-from briarspur.gateway.warmcopies import CopyDebts
+from briarspur.gateway.warmcopies import AccruedCosts
 from briarspur.gateway.work import Arrival, Attempt, Work
 from tests.gateway.samples import registration, route, steering
 
@@ -47,26 +47,26 @@
 
 
 class WarmCopyTest(unittest.TestCase):
-    """Half of the bytes of every object crossed zones for as long as it was asked for.
+    """Guards against half of the bytes of every object crossing zones as long as it is requested.
 
-    An object's callers stand in both zones of a region and it was warm at one server, so the
-    entries of the other zone sent all they had there. Operators pay for each of these bytes.
+    An object's callers are in both zones of a region. While the object was warm at one server, the
+    entries of the other zone sent all its requests there. Operators pay for each of these bytes.
     """
 
-    def test_an_object_of_large_bodies_comes_near_after_few_requests(self) -> None:
+    def test_an_object_with_large_bodies_is_warmed_up_nearer_after_few_requests(self) -> None:
         core = deployment()
         warm_only_at(core, "t-2", "/notes/x", b"7")
         zones = [place(core, "/notes/x", b"7", 30_000) for _ in range(10)]
         self.assertEqual("a-2", zones[0])
         self.assertEqual(["a-1"] * 7, zones[3:])
 
-    def test_an_object_of_small_bodies_stays_where_it_is(self) -> None:
+    def test_an_object_with_small_bodies_is_not_warmed_up_nearer(self) -> None:
         core = deployment()
         warm_only_at(core, "t-2", "/times/x", b"7")
         zones = {place(core, "/times/x", b"7", 400) for _ in range(50)}
         self.assertEqual({"a-2"}, zones)
 
-    def test_under_load_no_server_is_asked_for_a_cold_run(self) -> None:
+    def test_under_load_no_object_is_warmed_up_nearer(self) -> None:
         core = deployment()
         warm_only_at(core, "t-2", "/notes/x", b"7")
         for name, load in (("t-0", 2), ("t-1", 2), ("t-2", 3), ("t-3", 4)):
@@ -77,13 +77,13 @@
         self.assertEqual({"a-2"}, zones)
 
 
-class CopyDebtsTest(unittest.TestCase):
-    """A warm copy is paid for by what the way has cost."""
+class AccruedCostsTest(unittest.TestCase):
+    """A warm copy pays off once the network cost has added up to its price."""
 
-    def test_a_debt_grows_until_it_is_settled(self) -> None:
-        debts = CopyDebts()
-        self.assertFalse(debts.add("info", 7, 0.25, 0.5))
-        self.assertTrue(debts.add("info", 7, 0.25, 0.5))
-        debts.settle("info", 7)
-        self.assertFalse(debts.add("info", 7, 0.25, 0.5))
-        self.assertFalse(debts.add("info", 8, 0.25, 0.5))
+    def test_the_cost_accrues_until_it_is_paid_off(self) -> None:
+        costs = AccruedCosts()
+        self.assertFalse(costs.add("info", 7, 0.25, 0.5))
+        self.assertTrue(costs.add("info", 7, 0.25, 0.5))
+        costs.pay_off("info", 7)
+        self.assertFalse(costs.add("info", 7, 0.25, 0.5))
+        self.assertFalse(costs.add("info", 8, 0.25, 0.5))
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -36,19 +36,31 @@
 UNCHANGED = Mechanism("unchanged")
 MECHANISMS = (
     UNCHANGED,
-    Mechanism("refusing what would wait and be late", "admission.py", "finish <= goal:", "True:"),
     Mechanism(
-        "bound on spreading", "admission.py", "SPREAD_PRESSURE = 0.8", "SPREAD_PRESSURE = 99.0"
+        "refusing what would wait and be late", "admission.py", "response_time <= goal:", "True:"
     ),
-    Mechanism("warm copies", "admission.py", "COPY_PRESSURE = 0.6", "COPY_PRESSURE = -1.0"),
     Mechanism(
-        "bound on warm copies", "admission.py", "COPY_PRESSURE = 0.6", "COPY_PRESSURE = 99.0"
+        "bound on spreading",
+        "admission.py",
+        "MAX_SPREAD_UTILIZATION = 0.8",
+        "MAX_SPREAD_UTILIZATION = 99.0",
+    ),
+    Mechanism(
+        "warm copies", "admission.py", "MAX_COPY_UTILIZATION = 0.6", "MAX_COPY_UTILIZATION = -1.0"
+    ),
+    Mechanism(
+        "bound on warm copies",
+        "admission.py",
+        "MAX_COPY_UTILIZATION = 0.6",
+        "MAX_COPY_UTILIZATION = 99.0",
     ),
     Mechanism("cost of bytes", "transit.py", "ZONE_BYTE = 3.0e-6", "ZONE_BYTE = 0.0"),
-    Mechanism("order of preference", "chooser.py", "RANK_COST = 0.05", "RANK_COST = 0.0"),
-    Mechanism("cost of cold runs", "chooser.py", "COLD_COST = 0.5", "COLD_COST = 0.0"),
-    Mechanism("weight of trouble", "chooser.py", "TROUBLE_COST = 4.0", "TROUBLE_COST = 0.0"),
-    Mechanism("suspicion", "chooser.py", "SUSPECT_COST = 2.0", "SUSPECT_COST = 0.0"),
+    Mechanism(
+        "order of preference", "chooser.py", "RANK_COST_SHARE = 0.05", "RANK_COST_SHARE = 0.0"
+    ),
+    Mechanism("cost of cold runs", "chooser.py", "COLD_COST_SHARE = 0.5", "COLD_COST_SHARE = 0.0"),
+    Mechanism("weight of trouble", "chooser.py", "ERROR_RATE_COST = 4.0", "ERROR_RATE_COST = 0.0"),
+    Mechanism("suspicion", "chooser.py", "SUSPECT_COST_S = 2.0", "SUSPECT_COST_S = 0.0"),
     Mechanism("newcomers", "chooser.py", "NEWCOMER_SHARE = 0.5", "NEWCOMER_SHARE = -1.0"),
     Mechanism("hedging", "steering.py", "HEDGE_SHARE = 0.5", "HEDGE_SHARE = 0.0"),
     Mechanism("breaker", "breaker.py", "FIRST_PAUSE = 0.4", "FIRST_PAUSE = 0.0"),
