--- a/briarspur/gateway/chooser.py
+++ b/briarspur/gateway/chooser.py
@@ -13,9 +13,9 @@
 )
 from briarspur.gateway.configuration import Route
 from briarspur.gateway.preference import Distance, Preferences, Ranked, mean_warm_objects
-from briarspur.gateway.target import FASTEST, Target
+from briarspur.gateway.target import MIN_SLOWDOWN, Target
 from briarspur.gateway.warmcopies import AccruedCosts
-from briarspur.gateway.worktime import RouteWork, WorkTimes
+from briarspur.gateway.worktime import RouteMeans, WorkTimes
 
 __all__ = ["Choice", "Chooser", "SelectionCriteria"]
 
@@ -144,7 +144,7 @@
             for target in targets
             if criteria.key in target.warmth
             and target not in criteria.full
-            and not target.rests(now)
+            and not target.is_backing_off(now)
         ]
         best = self._clearly_best_warm(criteria, warm, now)
         if best is None:
@@ -169,7 +169,7 @@
             return None
         times = self._work.route(criteria.route.name, criteria.route.goal)
         best, cost = self._cheapest(criteria, [Ranked(target, 0.0) for target in warm], now)
-        min_cold_cost = times.cold * FASTEST + COLD_COST_SHARE * (times.cold - times.warm)
+        min_cold_cost = times.cold * MIN_SLOWDOWN + COLD_COST_SHARE * (times.cold - times.warm)
         return best if cost <= min_cold_cost else None
 
     def _ranked_best(
@@ -271,7 +271,7 @@
             return None
         newcomer = self._best(criteria, [Ranked(first, 0.0)], now)
         if newcomer is not None:
-            first.invited_at = now
+            first.warm_up_sent_at = now
         return newcomer
 
     def _best(
@@ -322,29 +322,29 @@
         return best, lowest_cost
 
     def _expected(
-        self, target: Target, times: RouteWork, warm: bool, mean: float, now: float
+        self, target: Target, times: RouteMeans, warm: bool, mean: float, now: float
     ) -> Choice | None:
         """Return the expected times at a server, None if its queue is full."""
         slots = target.registration.slots
         load = target.load
         if load >= slots * (1.0 + MAX_QUEUE_SHARE):
             return None
-        speed = target.current_speed(now)
-        wait = max(0, load + 1 - slots) * mean * speed / slots
-        work = times.expected(warm) * speed
+        slowdown = target.current_slowdown(now)
+        wait = max(0, load + 1 - slots) * mean * slowdown / slots
+        work = times.expected(warm) * slowdown
         return Choice(target, warm, wait, work, self._transit(target))
 
     def _cost(
         self,
         choice: Choice,
         criteria: SelectionCriteria,
-        times: RouteWork,
+        times: RouteMeans,
         place: float,
         now: float,
     ) -> float:
         """Return the cost of a choice in seconds, including the delay of other requests."""
         target = choice.target
-        cost = choice.response_time * (1.0 + ERROR_RATE_COST * target.current_trouble(now))
+        cost = choice.response_time * (1.0 + ERROR_RATE_COST * target.current_error_rate(now))
         cost += (criteria.size + times.size) * self._transit.byte_cost(target)
         if not choice.warm:
             cost += COLD_COST_SHARE * (times.cold - times.warm)
@@ -358,12 +358,12 @@
     ) -> bool:
         if target.load > 0 or target.cold_until > now or target.breaker.suspected(now):
             return False
-        if now - target.invited_at < WARM_UP_INTERVAL_S or not criteria.route.repeatable:
+        if now - target.warm_up_sent_at < WARM_UP_INTERVAL_S or not criteria.route.repeatable:
             return False
         return len(target.warmth) < NEWCOMER_SHARE * mean_warm_objects(targets)
 
     def _usable(self, target: Target, now: float) -> bool:
-        if target.rests(now) or not target.breaker.allows(now):
+        if target.is_backing_off(now) or not target.breaker.allows(now):
             return False
         if target.cold_until > now:
             bucket = target.cold_rate
--- a/briarspur/gateway/outcome.py
+++ b/briarspur/gateway/outcome.py
@@ -6,7 +6,7 @@
 
 
 class Outcome(Enum):
-    """The ends of an attempt; only those in :data:`NOT_RUN` prove that nothing was run."""
+    """How an attempt ended; only outcomes in :data:`NOT_RUN` prove that nothing was run."""
 
     ANSWERED = "answered"
     SERVER_ERROR = "server error"
@@ -21,6 +21,6 @@
 
 
 UNSENT = frozenset({Outcome.NOT_SENT, Outcome.DEPARTED})
-"""No byte of the request left: there was no connection, or the server took no work any more."""
+"""No byte of the request was sent: there was no connection, or the server accepted no new work."""
 NOT_RUN = UNSENT | {Outcome.REJECTED, Outcome.MISDIRECTED}
-"""No connection took the request, or the server itself said that it did not run it."""
+"""The request was not sent, or the server reported that it did not run it."""
--- a/briarspur/gateway/requestlog.py
+++ b/briarspur/gateway/requestlog.py
@@ -71,7 +71,7 @@
             expected=f"{attempt.expected:.3f}",
             in_flight=target.in_flight,
             elsewhere=target.elsewhere,
-            speed=f"{target.speed:.2f}",
+            speed=f"{target.slowdown:.2f}",
             left=f"{work.deadline - attempt.started:.3f}",
         )
 
--- a/briarspur/gateway/sending.py
+++ b/briarspur/gateway/sending.py
@@ -141,7 +141,7 @@
     # Connection
 
     def _connected(self, connection: TargetConnection, seconds: float) -> None:
-        self._services.steering.transit.connected(self.attempt.target, seconds)
+        self._services.steering.transit.record_connect(self.attempt.target, seconds)
         self._connecting = None
         if self.ended:
             connection.abort()
@@ -150,7 +150,7 @@
         # connection was made. Its 0.5 s would add to the time in which that became known: a request
         # chosen just before would reach the server later than its operators were promised.
         now = self._services.clock.seconds()
-        if not self._services.steering.targets.takes_work(self.attempt.target, now):
+        if not self._services.steering.targets.accepts_work(self.attempt.target, now):
             connection.abort()
             self._end(Outcome.DEPARTED, "")
             return
--- a/briarspur/gateway/steering.py
+++ b/briarspur/gateway/steering.py
@@ -66,7 +66,7 @@
         self.configuration: Configuration | None = None
         self.targets = TargetTable(zone_regions)
         self.loads = LoadView(self.targets.by_number)
-        self.targets.on_new = self.loads.target_added
+        self.targets.on_target_added = self.loads.target_added
         self.quotas = Quotas(
             bounds.quota_window, self.loads.known, bounds.quota_overage, bounds.quota_slack
         )
@@ -171,7 +171,7 @@
         if choice is None:
             suspected = sum(target.breaker.suspected(now) for target in targets)
             limited = self.limits.limited(targets)
-            backing_off = sum(target.rests(now) for target in targets)
+            backing_off = sum(target.is_backing_off(now) for target in targets)
             detail = (
                 f"none of {len(targets)} targets in time, {suspected} suspected, "
                 f"{limited} limited, {backing_off} resting"
@@ -200,14 +200,14 @@
         if notice.limit_per_s is not None:
             self.limits.answered(target, notice.limit_per_s, now)
         if notice.leaving:
-            self.targets.leaves(target, FROM_ANSWER, now)
+            self.targets.record_leaving(target, FROM_ANSWER, now)
         if notice.rest > 0.0:
-            self.targets.rests(target, notice.rest, now)
+            self.targets.record_backoff(target, notice.rest, now)
 
     def record_notices(self, notices: ToldNotices, now: float) -> None:
         """Record the notices that other entries received from servers."""
         self.limits.told(notices.limits, now)
-        self.targets.told_leaving(notices.leaving, now)
+        self.targets.record_reported_leaving(notices.leaving, now)
 
     def notices_to_report(self, relays: bool, now: float) -> ToldNotices:
         """Return the servers' notices to report to the other entries.
@@ -217,12 +217,12 @@
         relays : bool
             Whether notices that other entries reported are included.
         """
-        return ToldNotices(self.limits.to_tell(relays, now), self.targets.leaving_to_tell(now))
+        return ToldNotices(self.limits.to_tell(relays, now), self.targets.leaving_to_report(now))
 
     def record_overdue(self, attempt: Attempt, now: float) -> None:
         """Record that an unfinished attempt has taken far longer than expected."""
         ratio = (now - attempt.started) / max(attempt.expected, MIN_ATTEMPT_S)
-        attempt.target.at_least_as_slow(ratio * attempt.target.current_speed(now), now)
+        attempt.target.raise_slowdown(ratio * attempt.target.current_slowdown(now), now)
 
     def record_answer_size(self, work: Work, size: int) -> None:
         """Record the size of a complete answer, in bytes."""
@@ -242,12 +242,12 @@
         match outcome:
             case Outcome.ANSWERED | Outcome.SERVER_ERROR:
                 target.breaker.succeeded()
-                target.learn_trouble(outcome is Outcome.SERVER_ERROR, now)
+                target.learn_error(outcome is Outcome.SERVER_ERROR, now)
                 if outcome is Outcome.ANSWERED:
                     self._learn_times(attempt, now)
             case Outcome.REJECTED | Outcome.INVALID:
                 target.breaker.trial_ended()
-                target.learn_trouble(True, now)
+                target.learn_error(True, now)
             case Outcome.MISDIRECTED:
                 self.targets.misdirected(target)
             case Outcome.NOT_SENT | Outcome.LOST:
@@ -338,9 +338,9 @@
         seconds = max(0.0, now - attempt.started - attempt.transit)
         times = self.work_times.route(work.route.name, work.route.goal)
         expected = times.expected(attempt.warm)
-        target.learn_speed(seconds / max(expected, MIN_ATTEMPT_S), now)
+        target.learn_slowdown(seconds / max(expected, MIN_ATTEMPT_S), now)
         if target.cold_until <= now:
-            if attempt.warm and not times.seems_warm(seconds / target.current_speed(now)):
+            if attempt.warm and not times.seems_warm(seconds / target.current_slowdown(now)):
                 self._record_cache_miss(work, target)
             times.learn(seconds, attempt.warm)
             self.work_times.learn_mean(work.service, seconds)
@@ -382,7 +382,7 @@
         If all servers are backing off, return the seconds until the first of them accepts requests.
         """
         targets = self.targets.in_regions(work.service, work.regions or frozenset())
-        free_at = min((target.rest_until for target in targets), default=now)
+        free_at = min((target.backoff_until for target in targets), default=now)
         if free_at > now:
             return free_at - now
         mean = self.work_times.service_mean(work.service, work.route.goal)
--- a/briarspur/gateway/target.py
+++ b/briarspur/gateway/target.py
@@ -1,4 +1,4 @@
-"""What an entry knows of one incarnation of a backend server."""
+"""What an entry knows about one incarnation of a backend server."""
 
 from zlib import crc32
 
@@ -7,23 +7,23 @@
 from briarspur.gateway.tokens import TokenBucket
 from briarspur.gateway.warmth import Warmth
 
-__all__ = ["FASTEST", "Target", "target_number"]
+__all__ = ["MIN_SLOWDOWN", "Target", "target_number"]
 
-SPEED_WEIGHT = 0.15
-"""Share of a new sample in the mean speed."""
-TROUBLE_WEIGHT = 0.1
-"""Share of a new sample in the mean trouble."""
-SLOWEST = 20.0
-FASTEST = 0.3
-"""Bounds of the mean speed, so that one sample can't put a server out of use for long."""
-FORGET_PER_S = 0.25
-"""Share of the deviation from normal speed, and of the trouble, forgotten in a second without
-requests; a server that was avoided is tried again after some seconds. Trouble that only answers
-could end kept a server avoided for as long as the others had room."""
+SLOWDOWN_WEIGHT = 0.15
+"""Weight of a new sample in the mean slowdown."""
+ERROR_RATE_WEIGHT = 0.1
+"""Weight of a new sample in the mean error rate."""
+MAX_SLOWDOWN = 20.0
+MIN_SLOWDOWN = 0.3
+"""Bounds of the mean slowdown, so that one sample can't put a server out of use for long."""
+DECAY_PER_S = 0.25
+"""Share of the deviation from normal speed, and of the error rate, that decays per second without
+requests, so that an avoided server is tried again after some seconds. When only answers lowered the
+error rate, a server was avoided for as long as the others had room."""
 
 
 def target_number(target_id: str, born: int) -> int:
-    """Return 32 bits that name an incarnation in load news, the same in every process."""
+    """Return a 32-bit hash that identifies an incarnation in load news, equal in all processes."""
     return crc32(f"{target_id}/{born}".encode())
 
 
@@ -33,40 +33,42 @@
     Attributes
     ----------
     in_flight : int
-        Requests of this entry that it has.
+        Requests that this entry has sent to it and that have not ended.
     elsewhere : int
-        Requests of the other entries that it has, by their latest news.
-    speed : float
-        Mean ratio of the time it takes to the time that is expected.
-    trouble : float
-        Share of its latest answers that were rejections or could not be used.
-    invited_at : float
-        When this entry last sent it an object only to make it warm there.
+        Requests of the other entries at the server, by their latest news.
+    slowdown : float
+        Mean ratio of the actual to the expected working time.
+    error_rate : float
+        Share of its latest answers that were rejections or unusable.
+    warm_up_sent_at : float
+        When this entry last sent it a request only to warm up an object there.
     cold_until : float
         When it stops being cold, on this entry's clock.
+    gone : bool
+        Whether another server answered at its address.
     leaving : bool
-        It said itself, in an answer to some entry, that it takes no new work.
-    rest_until : float
-        Until when it wants nothing from this entry, on this entry's clock.
+        Whether it advertised, in an answer to any entry, that it accepts no new work.
+    backoff_until : float
+        Until when it asked this entry to send it no requests, on this entry's clock.
     """
 
     __slots__ = (
-        "_speed_at",
-        "_trouble_at",
+        "_error_rate_at",
+        "_slowdown_at",
+        "backoff_until",
         "breaker",
         "cold_rate",
         "cold_until",
         "elsewhere",
+        "error_rate",
         "gone",
         "in_flight",
-        "invited_at",
         "leaving",
         "number",
         "region",
         "registration",
-        "rest_until",
-        "speed",
-        "trouble",
+        "slowdown",
+        "warm_up_sent_at",
         "warmth",
     )
 
@@ -78,54 +80,54 @@
         self.warmth = Warmth()
         self.in_flight = 0
         self.elsewhere = 0
-        self.speed = 1.0
+        self.slowdown = 1.0
         self.gone = False
         self.leaving = False
-        self.rest_until = float("-inf")
-        self.trouble = 0.0
-        self.invited_at = float("-inf")
+        self.backoff_until = float("-inf")
+        self.error_rate = 0.0
+        self.warm_up_sent_at = float("-inf")
         self.cold_until = now + registration.cold_s
         self.cold_rate: TokenBucket | None = None
-        self._speed_at = now
-        self._trouble_at = now
+        self._slowdown_at = now
+        self._error_rate_at = now
 
-    def rests(self, now: float) -> bool:
-        """Return whether it wants nothing from this entry now."""
-        return self.rest_until > now
+    def is_backing_off(self, now: float) -> bool:
+        """Return whether it asked this entry to send it no requests now."""
+        return self.backoff_until > now
 
     @property
     def load(self) -> int:
-        """Requests of all entries that it has, as far as known."""
+        """Requests of all entries at the server, as far as known."""
         return self.in_flight + self.elsewhere
 
-    def learn_trouble(self, troubled: bool, now: float) -> None:
-        """Take whether an answer was a rejection or could not be used."""
-        current = self.current_trouble(now)
-        self.trouble = current + TROUBLE_WEIGHT * (float(troubled) - current)
-        self._trouble_at = now
+    def learn_error(self, is_error: bool, now: float) -> None:
+        """Add an answer to the error rate; an error is a rejection or an unusable answer."""
+        current = self.current_error_rate(now)
+        self.error_rate = current + ERROR_RATE_WEIGHT * (float(is_error) - current)
+        self._error_rate_at = now
 
-    def current_trouble(self, now: float) -> float:
-        """Return the mean trouble, forgotten by the time since the last answer."""
-        if self.trouble == 0.0:
+    def current_error_rate(self, now: float) -> float:
+        """Return the mean error rate, decayed since the last answer."""
+        if self.error_rate == 0.0:
             return 0.0
-        return self.trouble * max(0.0, 1.0 - FORGET_PER_S * (now - self._trouble_at))
-
-    def learn_speed(self, ratio: float, now: float) -> None:
-        """Take the ratio of a measured time to the expected one."""
-        current = self.current_speed(now)
-        speed = current + SPEED_WEIGHT * (ratio - current)
-        self.speed = min(SLOWEST, max(FASTEST, speed))
-        self._speed_at = now
-
-    def at_least_as_slow(self, ratio: float, now: float) -> None:
-        """Take a time that is not over yet: the server is at least this slow."""
-        if ratio > self.current_speed(now):
-            self.speed = min(SLOWEST, ratio)
-            self._speed_at = now
-
-    def current_speed(self, now: float) -> float:
-        """Return the mean speed, drawn towards 1 by the time since the last sample."""
-        if self.speed == 1.0:
+        return self.error_rate * max(0.0, 1.0 - DECAY_PER_S * (now - self._error_rate_at))
+
+    def learn_slowdown(self, ratio: float, now: float) -> None:
+        """Add the ratio of a measured to the expected working time to the mean."""
+        current = self.current_slowdown(now)
+        slowdown = current + SLOWDOWN_WEIGHT * (ratio - current)
+        self.slowdown = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, slowdown))
+        self._slowdown_at = now
+
+    def raise_slowdown(self, ratio: float, now: float) -> None:
+        """Raise the slowdown to the ratio of an unfinished attempt, if that is higher."""
+        if ratio > self.current_slowdown(now):
+            self.slowdown = min(MAX_SLOWDOWN, ratio)
+            self._slowdown_at = now
+
+    def current_slowdown(self, now: float) -> float:
+        """Return the mean slowdown, decayed towards 1 since the last sample."""
+        if self.slowdown == 1.0:
             return 1.0
-        kept = max(0.0, 1.0 - FORGET_PER_S * (now - self._speed_at))
-        return 1.0 + (self.speed - 1.0) * kept
+        kept = max(0.0, 1.0 - DECAY_PER_S * (now - self._slowdown_at))
+        return 1.0 + (self.slowdown - 1.0) * kept
--- a/briarspur/gateway/targettable.py
+++ b/briarspur/gateway/targettable.py
@@ -1,4 +1,4 @@
-"""The backend servers that an entry may use, by service."""
+"""The table of backend servers that an entry may use, by service."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Mapping
@@ -11,28 +11,28 @@
 
 __all__ = ["TargetTable"]
 
-WARM_AGAIN = 3.0
-"""Seconds for which a zone's servers count as cold after its evacuation ended, unless their own
-registrations, written every 1 to 2 s, have said otherwise by then."""
+EVACUATION_COLD_S = 3.0
+"""Time for which a zone's servers count as cold after its evacuation ended, unless their own
+registrations, which are written every 1 to 2 s, extend it."""
 
-LEAVING_TOLD_FOR = 3.0
-"""Seconds for which each entry that hears of a leaving server tells the others. Whoever misses all
-news of this time hears it from the store or from the server itself."""
-MOST_LEAVING_TOLD = 40
-"""Leaving servers in one message, the latest ones; 160 bytes."""
+LEAVING_REPORT_S = 3.0
+"""Time for which each entry that learns of a leaving server reports it to the others. An entry that
+misses all news of this time learns it from the store or from the server itself."""
+MAX_REPORTED_LEAVING = 40
+"""Leaving servers in one message, the most recent ones; they take 160 bytes."""
 
 
 class TargetTable:
-    """Incarnations of backend servers, from their registrations and the evacuated zones.
+    """Incarnations of backend servers, according to registrations, notices and evacuated zones.
 
     Attributes
     ----------
     by_service : dict
-        Targets that take new work, by service.
+        Targets that accept new work, by service.
     by_number : dict
-        All known targets, by the number that load news give them.
+        All known targets, by their number in load news.
     epoch : int
-        Raised whenever ``by_service`` changes.
+        Incremented whenever ``by_service`` changes.
     """
 
     def __init__(self, zone_regions: Mapping[str, str]) -> None:
@@ -43,8 +43,8 @@
         self.by_number: dict[int, Target] = {}
         self.evacuated: frozenset[str] = frozenset()
         self.epoch = 0
-        self._left_at: dict[int, float] = {}
-        self.on_new: Callable[[Target], None] = lambda target: None
+        self._leaving_since: dict[int, float] = {}
+        self.on_target_added: Callable[[Target], None] = lambda target: None
 
     def __len__(self) -> int:
         return len(self._by_id)
@@ -54,7 +54,7 @@
         return self._by_id.get(target_id)
 
     def in_regions(self, service: str, regions: frozenset[str]) -> list[Target]:
-        """Return a service's targets that take new work, of some regions only if any are named."""
+        """Return a service's targets that accept new work, only in the given regions if any."""
         targets = self.by_service.get(service, [])
         if not regions:
             return targets
@@ -64,28 +64,28 @@
             self._by_regions[service, regions] = found
         return found
 
-    def takes_work(self, target: Target, now: float) -> bool:
-        """Return whether this incarnation of a target is still there and may be sent requests."""
+    def accepts_work(self, target: Target, now: float) -> bool:
+        """Return whether this incarnation of a target is current and may be sent requests."""
         current = self._by_id.get(target.registration.target_id)
-        return current is target and self._is_open(target) and not target.rests(now)
+        return current is target and self._is_open(target) and not target.is_backing_off(now)
 
     def registered(self, registration: Registration, now: float) -> None:
-        """Take a registration; a new ``born`` voids all that was known of the target."""
+        """Apply a registration; a new ``born`` discards all that was known about the target."""
         target = self._by_id.get(registration.target_id)
         if target is None or target.registration.incarnation != registration.incarnation:
             self._replace(target, registration, now)
             return
         old, target.registration = target.registration, registration
-        self._take_coldness(target, registration, now)
-        if _placed(old) != _placed(registration):
-            # A server that changes service or address is another place, whatever its id says.
+        self._update_cold_state(target, registration, now)
+        if _placement(old) != _placement(registration):
+            # With another service or address it is a different server, even under the same id.
             target.gone = False
             target.warmth.clear()
-            logs.event("target-changed", target=registration.target_id, **_facts(registration))
+            logs.event("target-changed", target=registration.target_id, **_log_fields(registration))
             self._rebuild()
 
     def removed(self, target_id: str) -> None:
-        """Drop a target whose registration is gone."""
+        """Remove a target whose registration was deleted."""
         target = self._by_id.pop(target_id, None)
         if target is not None:
             self.by_number.pop(target.number, None)
@@ -93,32 +93,37 @@
             self._rebuild()
 
     def misdirected(self, target: Target) -> None:
-        """Use a target no more whose address answered that another server is there."""
+        """Stop using a target at whose address another server answered."""
         if not target.gone:
             target.gone = True
             logs.event("target-gone", target=target.registration.target_id, reason="421")
             self._rebuild()
 
-    def leaves(self, target: Target, way: str, now: float) -> None:
-        """Take a server's own word that it leaves, and how it came here.
+    def record_leaving(self, target: Target, source: str, now: float) -> None:
+        """Record that a server advertised that it is leaving.
 
-        It holds for this incarnation, whatever an older registration says.
+        This holds for the incarnation, even if an older registration says otherwise.
+
+        Parameters
+        ----------
+        source : str
+            How this entry learned it.
         """
         if target.leaving:
             return
         target.leaving = True
-        self._left_at[target.number] = now
+        self._leaving_since[target.number] = now
         self._rebuild()
         if not target.registration.draining:
             logs.event(
                 "target-departed",
                 target=target.registration.target_id,
-                way=way,
-                age_s="0.000" if way is FROM_ANSWER else None,
+                way=source,
+                age_s="0.000" if source is FROM_ANSWER else None,
             )
 
     def evacuate(self, zones: Iterable[str], now: float) -> None:
-        """Send nothing new to these zones; those no longer named may be used again, as cold."""
+        """Stop using the servers of these zones; zones no longer named are used again, as cold."""
         zones = frozenset(zones)
         if zones == self.evacuated:
             return
@@ -126,10 +131,10 @@
         logs.event("zones-evacuated", zones=",".join(sorted(zones)) or "none")
         for target in self._by_id.values():
             if target.registration.zone in returned:
-                # Servers of a returned zone may have lost their caches, and a cold one that gets
-                # its usual share at once crashes. A registration from before the return can't
-                # tell, so only one that arrives later ends this.
-                target.cold_until = max(target.cold_until, now + WARM_AGAIN)
+                # Servers of a returned zone may have lost their caches, and a cold server that gets
+                # its usual load at once crashes. A registration from before the return doesn't show
+                # whether it is cold, so only later ones are trusted.
+                target.cold_until = max(target.cold_until, now + EVACUATION_COLD_S)
                 target.warmth.clear()
         self._rebuild()
 
@@ -140,20 +145,20 @@
         target = Target(registration, region, now)
         self._by_id[registration.target_id] = target
         self.by_number[target.number] = target
-        self.on_new(target)
+        self.on_target_added(target)
         logs.event(
             "target-registered",
             target=registration.target_id,
             born=registration.born,
             cold_s=registration.cold_s or None,
-            **_facts(registration),
+            **_log_fields(registration),
         )
         self._rebuild()
 
-    def _take_coldness(self, target: Target, registration: Registration, now: float) -> None:
+    def _update_cold_state(self, target: Target, registration: Registration, now: float) -> None:
         until = now + registration.cold_s if registration.cold_s > 0.0 else 0.0
         if until > target.cold_until and target.cold_until <= now:
-            # It became cold in the middle of its life: it has lost what it knew.
+            # It became cold while running, so it has lost its objects.
             target.warmth.clear()
             target.cold_rate = None
             logs.event(
@@ -162,26 +167,26 @@
         if until:
             target.cold_until = max(target.cold_until, until)
 
-    def rests(self, target: Target, seconds: float, now: float) -> None:
-        """Take a rest that a server asks this entry for; of several the latest end counts."""
-        if now + seconds <= target.rest_until:
+    def record_backoff(self, target: Target, seconds: float, now: float) -> None:
+        """Record a backoff that a server asked this entry for; the latest end of several counts."""
+        if now + seconds <= target.backoff_until:
             return
-        target.rest_until = now + seconds
+        target.backoff_until = now + seconds
         logs.event("target-rest", target=target.registration.target_id, seconds=f"{seconds:.3f}")
 
-    def told_leaving(self, numbers: Iterable[int], now: float) -> None:
-        """Take which servers another entry knows to leave."""
+    def record_reported_leaving(self, numbers: Iterable[int], now: float) -> None:
+        """Record the leaving servers that another entry reported."""
         for number in numbers:
             target = self.by_number.get(number)
             if target is not None:
-                self.leaves(target, FROM_ENTRY, now)
+                self.record_leaving(target, FROM_ENTRY, now)
 
-    def leaving_to_tell(self, now: float) -> tuple[int, ...]:
-        """Return the servers that are lately known to leave, for the other entries."""
-        for number, at in list(self._left_at.items()):
-            if now - at > LEAVING_TOLD_FOR:
-                del self._left_at[number]
-        return tuple(self._left_at)[-MOST_LEAVING_TOLD:]
+    def leaving_to_report(self, now: float) -> tuple[int, ...]:
+        """Return the servers that recently began to leave, to report to the other entries."""
+        for number, at in list(self._leaving_since.items()):
+            if now - at > LEAVING_REPORT_S:
+                del self._leaving_since[number]
+        return tuple(self._leaving_since)[-MAX_REPORTED_LEAVING:]
 
     def _is_open(self, target: Target) -> bool:
         registration = target.registration
@@ -199,7 +204,7 @@
         self.epoch += 1
 
 
-def _placed(registration: Registration) -> tuple[object, ...]:
+def _placement(registration: Registration) -> tuple[object, ...]:
     return (
         registration.service,
         registration.host,
@@ -209,7 +214,7 @@
     )
 
 
-def _facts(registration: Registration) -> dict[str, Any]:
+def _log_fields(registration: Registration) -> dict[str, Any]:
     return {
         "service": registration.service,
         "address": f"{registration.host}:{registration.port}",
--- a/briarspur/gateway/transit.py
+++ b/briarspur/gateway/transit.py
@@ -1,38 +1,46 @@
-"""Network times to the zones, learnt from how long connections take to be made."""
+"""Network round-trip times to the zones, learned from connect times, and costs of transfers."""
 
 from briarspur.gateway.preference import Distance
 from briarspur.gateway.target import Target
 
 __all__ = ["TransitTimes"]
 
-SAME_ZONE = 0.001
-SAME_REGION = 0.003
-OTHER_REGION = 0.045
-"""Seconds there and back, assumed until a connection was made; of the order that the users gave."""
-WEIGHT = 0.05
-"""Share of a sample above the mean; a shorter one replaces it, since the least is the way itself
-and the rest is waiting at either end."""
-
-
-ZONE_BYTE = 3.0e-6
-REGION_BYTE = 4.2e-6
-"""Seconds counted for each byte of a request and its answer that leaves the availability zone or
-the region. Operators pay for these bytes, and a link between regions carries 175 Mbit/s for all
-traffic together. A note of 60 kB counts as 180 ms and is taken near unless the near servers are
-busier than that; an answer of 400 bytes goes anywhere. On a quiet day of 13,000 requests 56 MB
-crossed zones at 0.5e-6 without the request's bytes, 30 MB at 3e-6 with warm copies (one run each).
-At 5e-6 and without a bound on these the share of worth earned was 0.77 instead of 0.84 on a day
+SAME_ZONE_S = 0.001
+SAME_REGION_S = 0.003
+OTHER_REGION_S = 0.045
+"""Round-trip times assumed until a connection was made, of the magnitude that users reported."""
+SAMPLE_WEIGHT = 0.05
+"""Weight of a sample above the mean. A shorter sample replaces the mean, since the shortest time is
+that of the network path and any excess is waiting at either end."""
+ZONE_BYTE_COST_S = 3.0e-6
+REGION_BYTE_COST_S = 4.2e-6
+"""Cost per byte of a request and its answer that leaves the availability zone or the region.
+Operators pay for these bytes, and a link between regions carries 175 Mbit/s for all traffic. 60 kB
+count as 180 ms, so they stay in the zone unless its servers are busier than that; an answer of 400
+bytes may come from anywhere. Together with warm copies, 3e-6 reduced the bytes that cross zones on
+a quiet day of 13,000 requests to 30 MB, from 56 MB at 0.5e-6 without counting request bytes. At
+5e-6 and without a bound on warm copies the share of worth earned fell from 0.84 to 0.77 on a day
 with a burst."""
-ASSUMED = {
-    Distance.ZONE: SAME_ZONE,
-    Distance.REGION: SAME_REGION,
-    Distance.FAR: OTHER_REGION,
+ASSUMED_S = {
+    Distance.ZONE: SAME_ZONE_S,
+    Distance.REGION: SAME_REGION_S,
+    Distance.FAR: OTHER_REGION_S,
+}
+BYTE_COSTS_S = {
+    Distance.ZONE: 0.0,
+    Distance.REGION: ZONE_BYTE_COST_S,
+    Distance.FAR: REGION_BYTE_COST_S,
 }
-BYTE_COSTS = {Distance.ZONE: 0.0, Distance.REGION: ZONE_BYTE, Distance.FAR: REGION_BYTE}
 
 
 class TransitTimes:
-    """Seconds there and back, by zone."""
+    """Round-trip times by zone.
+
+    Parameters
+    ----------
+    zone, region : str
+        The entry's availability zone and region.
+    """
 
     def __init__(self, zone: str, region: str) -> None:
         self._zone = zone
@@ -41,36 +49,36 @@
         self._by_distance: dict[Distance, float] = {}
 
     def __call__(self, target: Target) -> float:
-        """Return seconds for the way there and back."""
+        """Return the round-trip time to a target, in seconds."""
         known = self._by_zone.get(target.registration.zone)
-        return ASSUMED[self.distance(target)] if known is None else known
+        return ASSUMED_S[self.distance(target)] if known is None else known
 
     def distance(self, target: Target) -> Distance:
-        """Tell how far a server is from the entry."""
+        """Return the distance of a target from the entry."""
         if target.registration.zone == self._zone:
             return Distance.ZONE
         return Distance.REGION if target.region == self._region else Distance.FAR
 
     def byte_cost(self, target: Target) -> float:
-        """Return the seconds that are counted for each byte of an answer."""
-        return BYTE_COSTS[self.distance(target)]
+        """Return the cost of each transferred byte, in seconds."""
+        return BYTE_COSTS_S[self.distance(target)]
 
     def path_cost(self, distance: Distance, size: float) -> float:
-        """Return the seconds counted for the way to servers at a distance, there and back.
+        """Return the cost of a round trip with so many bytes at a distance, in seconds.
 
         Parameters
         ----------
         size : float
             Bytes of a request and its answer.
         """
-        known = self._by_distance.get(distance, ASSUMED[distance])
-        return known + size * BYTE_COSTS[distance]
+        known = self._by_distance.get(distance, ASSUMED_S[distance])
+        return known + size * BYTE_COSTS_S[distance]
 
-    def connected(self, target: Target, seconds: float) -> None:
-        """Take the time of one connect, which is one way there and back."""
+    def record_connect(self, target: Target, seconds: float) -> None:
+        """Record the time of one connect, which takes one round trip."""
         zone = target.registration.zone
         old = self._by_zone.get(zone, seconds)
-        self._by_zone[zone] = seconds if seconds < old else old + WEIGHT * (seconds - old)
+        self._by_zone[zone] = seconds if seconds < old else old + SAMPLE_WEIGHT * (seconds - old)
         distance = self.distance(target)
         before = self._by_distance.get(distance, self._by_zone[zone])
-        self._by_distance[distance] = before + WEIGHT * (self._by_zone[zone] - before)
+        self._by_distance[distance] = before + SAMPLE_WEIGHT * (self._by_zone[zone] - before)
--- a/briarspur/gateway/warmth.py
+++ b/briarspur/gateway/warmth.py
@@ -1,23 +1,23 @@
-"""Which objects a backend server handled lately, as far as this entry knows."""
+"""Objects that a backend server handled recently, as far as this entry knows."""
 
 from collections import OrderedDict
 
 __all__ = ["Warmth", "object_key"]
 
-REMEMBERED = 256
-"""Objects remembered of one backend server; 256 of them take about 30 kB."""
-KEY_BITS = 0xFFFFFFFF
+MAX_OBJECTS = 256
+"""Objects remembered per backend server; 256 of them take about 30 kB."""
+KEY_MASK = 0xFFFFFFFF
 
 
 def object_key(route: str, key: bytes) -> int:
-    """Return 32 bits that name an object of a route, the same in every process."""
+    """Return a 32-bit hash that identifies an object of a route, the same in every process."""
     from zlib import crc32
 
-    return crc32(key, crc32(route.encode())) & KEY_BITS
+    return crc32(key, crc32(route.encode())) & KEY_MASK
 
 
 class Warmth:
-    """Objects that one incarnation of a backend server ran, the latest last."""
+    """Objects that one incarnation of a backend server handled, most recent last."""
 
     __slots__ = ("_seen",)
 
@@ -31,24 +31,24 @@
         return key in self._seen
 
     def add(self, key: int) -> bool:
-        """Note that the server ran a request for an object; return whether that is new."""
+        """Record a request for an object at the server; return whether the object is new there."""
         new = key not in self._seen
         if new:
             self._seen[key] = None
-            if len(self._seen) > REMEMBERED:
+            if len(self._seen) > MAX_OBJECTS:
                 self._seen.popitem(last=False)
         else:
             self._seen.move_to_end(key)
         return new
 
     def discard(self, key: int) -> None:
-        """Forget an object whose request was not run after all."""
+        """Remove an object that isn't warm at the server."""
         self._seen.pop(key, None)
 
-    def latest(self, most: int) -> list[int]:
-        """Return the objects that ran last, at most so many."""
-        return list(self._seen)[-most:] if most > 0 else []
+    def latest(self, count: int) -> list[int]:
+        """Return at most ``count`` objects, the most recent ones."""
+        return list(self._seen)[-count:] if count > 0 else []
 
     def clear(self) -> None:
-        """Forget everything, as the server has."""
+        """Remove all objects, after the server has lost them."""
         self._seen.clear()
--- a/tests/gateway/test_chooser.py
+++ b/tests/gateway/test_chooser.py
@@ -22,9 +22,9 @@
         core.targets.registered(registration(f"t-{number}", zone=zone, slots=SLOTS), 0.0)
     for target in core.targets.by_number.values():
         target.in_flight = rng.choice((0, 0, 0, 1, 2, 3 * SLOTS - 1))
-        target.speed = rng.uniform(0.3, 8.0)
+        target.slowdown = rng.uniform(0.3, 8.0)
         if rng.random() < 0.2:
-            target.learn_trouble(True, 0.0)
+            target.learn_error(True, 0.0)
         for key in rng.sample(KEYS, 3):
             target.warmth.add(key)
     return core
--- a/tests/gateway/test_notice_machine.py
+++ b/tests/gateway/test_notice_machine.py
@@ -102,7 +102,7 @@
         """No registration and no answer opens it again."""
         for target in self.steering.targets.by_number.values():
             if target.number in self.leaving:
-                assert not self.steering.targets.takes_work(target, self.now)
+                assert not self.steering.targets.accepts_work(target, self.now)
 
     def _check(self, target: Target) -> None:
         number = target.number
--- a/tests/gateway/test_server_leaving.py
+++ b/tests/gateway/test_server_leaving.py
@@ -40,14 +40,14 @@
     def test_no_registration_of_its_life_and_no_later_answer_undoes_it(self) -> None:
         self.steering.targets.registered(self.target.registration, 0.2)
         self.steering.record_notice(self.target, ServerNotice(leaving=False), 0.3)
-        self.assertFalse(self.steering.targets.takes_work(self.target, 1.0))
+        self.assertFalse(self.steering.targets.accepts_work(self.target, 1.0))
 
     def test_a_new_incarnation_takes_work(self) -> None:
         name = self.target.registration.target_id
         self.steering.targets.registered(registration(name, born=2), 0.2)
         found = self.steering.targets.get(name)
         assert found is not None
-        self.assertTrue(self.steering.targets.takes_work(found, 1.0))
+        self.assertTrue(self.steering.targets.accepts_work(found, 1.0))
 
     def test_what_it_has_runs_to_its_end(self) -> None:
         self.steering.attempt_ended(self.attempt, Outcome.ANSWERED, 0.4)
@@ -82,5 +82,5 @@
         other.record_notices(ToldNotices(leaving=(1, *told.leaving)), 0.3)
         left = other.targets.get(self.target.registration.target_id)
         assert left is not None
-        self.assertFalse(other.targets.takes_work(left, 1.0))
+        self.assertFalse(other.targets.accepts_work(left, 1.0))
         self.assertEqual((), self.steering.notices_to_report(False, 9.0).leaving)
--- a/tests/gateway/test_server_rest.py
+++ b/tests/gateway/test_server_rest.py
@@ -37,8 +37,8 @@
         target = sent(made, begun(made)).target
         made.record_notice(target, ServerNotice(rest=3.0), 1.0)
         made.record_notice(target, ServerNotice(rest=0.5), 1.2)
-        self.assertTrue(target.rests(3.9))
-        self.assertFalse(target.rests(4.0))
+        self.assertTrue(target.is_backing_off(3.9))
+        self.assertFalse(target.is_backing_off(4.0))
 
     def test_where_all_rest_the_caller_hears_when_the_first_is_free(self) -> None:
         """Guards against callers that wait, or come back too soon, while no server takes them."""
--- a/tests/gateway/test_steering.py
+++ b/tests/gateway/test_steering.py
@@ -8,7 +8,7 @@
 from briarspur.gateway.configuration import RouteKind
 from briarspur.gateway.outcome import Outcome
 from briarspur.gateway.steering import Steering
-from briarspur.gateway.target import FORGET_PER_S
+from briarspur.gateway.target import DECAY_PER_S
 from briarspur.gateway.work import STARTING_RETRY_AFTER_S, Attempt, Bounds, Refused
 from tests.gateway.samples import (
     ZONE_REGIONS,
@@ -144,9 +144,9 @@
         core = steering(1)
         target = core.targets.by_service["info"][0]
         for _ in range(20):
-            target.learn_trouble(True, 10.0)
-        self.assertGreater(target.current_trouble(10.0), 0.8)
-        self.assertEqual(0.0, target.current_trouble(10.0 + 1.0 / FORGET_PER_S))
+            target.learn_error(True, 10.0)
+        self.assertGreater(target.current_error_rate(10.0), 0.8)
+        self.assertEqual(0.0, target.current_error_rate(10.0 + 1.0 / DECAY_PER_S))
 
     def test_a_request_stays_in_the_regions_of_its_route(self) -> None:
         core = steering(0, [route(regions=frozenset({"b"}))])
@@ -240,7 +240,7 @@
         assert second is not None
         self.assertIsNot(first.target, second.target)
         self.assertIsNone(core.hedge(work, 1.1))
-        self.assertGreater(first.target.current_speed(1.0), 2.0)
+        self.assertGreater(first.target.current_slowdown(1.0), 2.0)
 
     def test_a_booking_is_not_hedged(self) -> None:
         core = steering(3, [BOOKING])
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -54,7 +54,7 @@
         "MAX_COPY_UTILIZATION = 0.6",
         "MAX_COPY_UTILIZATION = 99.0",
     ),
-    Mechanism("cost of bytes", "transit.py", "ZONE_BYTE = 3.0e-6", "ZONE_BYTE = 0.0"),
+    Mechanism("cost of bytes", "transit.py", "ZONE_BYTE_COST_S = 3.0e-6", "ZONE_BYTE_COST_S = 0.0"),
     Mechanism(
         "order of preference", "chooser.py", "RANK_COST_SHARE = 0.05", "RANK_COST_SHARE = 0.0"
     ),
