--- a/briarspur/gateway/breaker.py
+++ b/briarspur/gateway/breaker.py
@@ -1,22 +1,23 @@
-"""When a backend server that failed is tried again."""
+"""Circuit breaker: when a backend server that failed is tried again."""
 
 __all__ = ["Breaker"]
 
-FIRST_PAUSE = 0.4
-LONGEST_PAUSE = 4.0
-"""Seconds without requests after a first failure, doubled by each further one up to the longest.
+MIN_PAUSE_S = 0.4
+MAX_PAUSE_S = 4.0
+"""Time without requests after a first failure, doubled by each further failure up to the maximum.
 
-A crashed server is back after some seconds and one that is only cut off may return at any time; 4 s
-bounds both what is lost on trials (one in 4 s) and how late a return is seen.
+A crashed server is back after some seconds, and one that was only cut off may return at any time.
+4 s bounds both the requests lost on trials (one per 4 s) and the delay until a return is detected.
 """
-LAPSE = 6.0
-"""Seconds without a failure after which earlier ones no longer count, nor make a server suspected.
-A suspected server gets no request that can't be repeated while another one is free, and a service
-with no other requests never sent it one again: one lost answer put it out of use for good."""
+FAILURE_EXPIRY_S = 6.0
+"""Time without a failure after which earlier failures no longer count or make a server suspected.
+While another server is free, a suspected one gets no requests that can't be repeated. Without the
+expiry, one lost answer put a server of a service that has only such requests permanently out of
+use."""
 
 
 class Breaker:
-    """Keeps requests away from a server that fails, and lets one through from time to time."""
+    """Blocks requests to a failing server, except for one trial request at a time."""
 
     __slots__ = ("_failed_at", "_failures", "_trial", "open_until")
 
@@ -33,32 +34,32 @@
         return not (self._failures and self._trial)
 
     def suspected(self, now: float) -> bool:
-        """Tell whether the last that was seen of the server is a failure, and that was lately."""
-        return self._failures > 0 and now - self._failed_at <= LAPSE
+        """Return whether the last result of the server was a failure that has not expired."""
+        return self._failures > 0 and now - self._failed_at <= FAILURE_EXPIRY_S
 
     def sent(self) -> None:
-        """Note a request; after failures it is the one trial."""
+        """Record that a request was sent; after failures it is the trial."""
         if self._failures:
             self._trial = True
 
     def succeeded(self) -> None:
-        """Note an answer."""
+        """Record an answer; it closes the breaker."""
         self._failures = 0
         self._trial = False
         self.open_until = 0.0
 
     def trial_ended(self) -> None:
-        """Note that a request ended without telling anything about the server."""
+        """Record that a request ended with neither a success nor a failure of the server."""
         self._trial = False
 
     def failed(self, now: float) -> None:
-        """Note a failure that speaks against the server."""
+        """Record a failure of the server; failures while the breaker is open count once."""
         self._trial = False
         if now < self.open_until:
             return
-        if now - self._failed_at > LAPSE:
+        if now - self._failed_at > FAILURE_EXPIRY_S:
             self._failures = 0
-        pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2.0**self._failures)
+        pause = min(MAX_PAUSE_S, MIN_PAUSE_S * 2.0**self._failures)
         self._failures += 1
         self._failed_at = now
         self.open_until = now + pause
--- a/briarspur/gateway/retrybudget.py
+++ b/briarspur/gateway/retrybudget.py
@@ -1,19 +1,24 @@
-"""One entry's share of the retries that a service bears from all entries together."""
+"""One entry's share of the retries that all entries together may send to a service."""
 
 from collections import deque
 
 __all__ = ["RetryBudget"]
 
-HEADROOM = 0.8
-"""Share of the allowance that is used; the rest covers entries that are not known yet."""
+USED_SHARE = 0.8
+"""Share of the allowance that is used; the remainder covers entries that are not known yet."""
 
 
 class RetryBudget:
     """Counts requests and retries of one service in a sliding window.
 
-    Over all entries retries may reach ``ratio`` of the requests plus ``slack``. The ratio applies
-    to each entry's own requests and the slack is divided by the number of entries, so the shares
-    add up to the limit and no message is needed.
+    All entries together may retry ``ratio`` of the requests plus ``slack``. The ratio applies to
+    each entry's own requests and the slack is divided by the number of entries, so the shares add
+    up to the limit without any messages.
+
+    Parameters
+    ----------
+    window : float
+        Length of the window in seconds.
     """
 
     def __init__(self, ratio: float, window: float, slack: float) -> None:
@@ -24,17 +29,25 @@
         self._retries: deque[float] = deque()
 
     def request_arrived(self, now: float) -> None:
-        """Count a request of a caller."""
+        """Count a request that a caller sent."""
         self._requests.append(now)
         if len(self._requests) & 63 == 0:
             _drop_before(self._requests, now - self._window)
 
     def take(self, now: float, entries: int, share: float = 1.0) -> bool:
-        """Count a retry if there is room for it; ``share`` of the allowance may be used."""
+        """Count a retry and return whether the budget allows it.
+
+        Parameters
+        ----------
+        entries : int
+            Number of entries that share the slack.
+        share : float
+            Share of the allowance that this retry may use.
+        """
         _drop_before(self._requests, now - self._window)
         _drop_before(self._retries, now - self._window)
         allowance = self._ratio * len(self._requests) + self._slack / max(1, entries)
-        if len(self._retries) + 1 > HEADROOM * share * allowance:
+        if len(self._retries) + 1 > USED_SHARE * share * allowance:
             return False
         self._retries.append(now)
         return True
--- a/briarspur/gateway/tokens.py
+++ b/briarspur/gateway/tokens.py
@@ -1,17 +1,17 @@
-"""Token buckets, for rates whose shares of all entries add up to one limit."""
+"""Token buckets, for rate limits that are divided among the entries."""
 
 __all__ = ["TokenBucket"]
 
 
 class TokenBucket:
-    """A rate with a burst.
+    """A token bucket.
 
     Parameters
     ----------
     per_s : float
-        Tokens that come back per second.
+        Tokens added per second.
     burst : float
-        Tokens that are held at most, and at first.
+        Capacity of the bucket, which is full at first.
     """
 
     __slots__ = ("_at", "_tokens", "burst", "per_s")
@@ -23,13 +23,13 @@
         self._at = now
 
     def available(self, now: float) -> float:
-        """Return how many tokens are there."""
+        """Return the number of available tokens."""
         self._tokens = min(self.burst, self._tokens + (now - self._at) * self.per_s)
         self._at = now
         return self._tokens
 
     def take(self, now: float) -> bool:
-        """Take one token if there is one."""
+        """Take one token if available; return whether it was."""
         if self.available(now) < 1.0:
             return False
         self._tokens -= 1.0
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from briarspur.gateway.breaker import FIRST_PAUSE, Breaker
+from briarspur.gateway.breaker import MIN_PAUSE_S, Breaker
 from briarspur.gateway.coldstart import cold_bucket
 from briarspur.gateway.retrybudget import RetryBudget
 
@@ -64,19 +64,19 @@
     def test_one_trial_after_the_pause(self) -> None:
         breaker = Breaker()
         breaker.failed(0.0)
-        self.assertFalse(breaker.allows(FIRST_PAUSE - 0.01))
-        self.assertTrue(breaker.allows(FIRST_PAUSE + 0.01))
+        self.assertFalse(breaker.allows(MIN_PAUSE_S - 0.01))
+        self.assertTrue(breaker.allows(MIN_PAUSE_S + 0.01))
         breaker.sent()
-        self.assertFalse(breaker.allows(FIRST_PAUSE + 0.02))
-        breaker.failed(FIRST_PAUSE + 0.05)
-        self.assertFalse(breaker.allows(2 * FIRST_PAUSE + 0.04))
-        self.assertTrue(breaker.allows(3 * FIRST_PAUSE + 0.06))
+        self.assertFalse(breaker.allows(MIN_PAUSE_S + 0.02))
+        breaker.failed(MIN_PAUSE_S + 0.05)
+        self.assertFalse(breaker.allows(2 * MIN_PAUSE_S + 0.04))
+        self.assertTrue(breaker.allows(3 * MIN_PAUSE_S + 0.06))
         breaker.sent()
         breaker.succeeded()
-        self.assertTrue(breaker.allows(3 * FIRST_PAUSE + 0.07))
+        self.assertTrue(breaker.allows(3 * MIN_PAUSE_S + 0.07))
 
     def test_failures_of_requests_sent_together_count_once(self) -> None:
         breaker = Breaker()
         for _ in range(10):
             breaker.failed(0.0)
-        self.assertTrue(breaker.allows(FIRST_PAUSE + 0.01))
+        self.assertTrue(breaker.allows(MIN_PAUSE_S + 0.01))
--- a/tests/gateway/test_steering.py
+++ b/tests/gateway/test_steering.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from briarspur.codes import Code
-from briarspur.gateway.breaker import LAPSE
+from briarspur.gateway.breaker import FAILURE_EXPIRY_S
 from briarspur.gateway.configuration import RouteKind
 from briarspur.gateway.outcome import Outcome
 from briarspur.gateway.steering import Steering
@@ -132,7 +132,7 @@
         at_once = sent(core, begun(core, now=1.0, path="/booking/x"), 1.0)
         self.assertIsNot(lost.target, at_once.target)
         core.attempt_ended(at_once, Outcome.ABANDONED, 1.1)
-        later = 0.3 + LAPSE + 0.1
+        later = 0.3 + FAILURE_EXPIRY_S + 0.1
         again = {
             sent(core, begun(core, now=later, key=b"%d" % n, path="/booking/x"), later).target
             for n in range(4)
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -63,7 +63,7 @@
     Mechanism("suspicion", "chooser.py", "SUSPECT_COST_S = 2.0", "SUSPECT_COST_S = 0.0"),
     Mechanism("newcomers", "chooser.py", "NEWCOMER_SHARE = 0.5", "NEWCOMER_SHARE = -1.0"),
     Mechanism("hedging", "steering.py", "HEDGE_SHARE = 0.5", "HEDGE_SHARE = 0.0"),
-    Mechanism("breaker", "breaker.py", "FIRST_PAUSE = 0.4", "FIRST_PAUSE = 0.0"),
+    Mechanism("breaker", "breaker.py", "MIN_PAUSE_S = 0.4", "MIN_PAUSE_S = 0.0"),
     Mechanism("load news", "loadview.py", "STALE = 1.5", "STALE = -1.0"),
     Mechanism("kept connections", "pool.py", "KEPT_IDLE = 8.0", "KEPT_IDLE = 0.0"),
     Mechanism("held departures", "departures.py", "RETURN_TIME = 2.2", "RETURN_TIME = -9e9"),
