--- a/tests/gateway/fleetload.py
+++ b/tests/gateway/fleetload.py
@@ -1,7 +1,7 @@
-"""Several entries under load in three regions, played without a network.
+"""Several entries under load in three regions, simulated without a network.
 
-Each entry is a real decision core. Servers have slots, a queue and the objects that they ran; what
-an entry has in flight, and which objects it made warm, reaches the others some time later.
+Each entry is a real decision core. Servers have slots, a queue and warm objects. The entries learn
+of each other's requests in flight and warmed objects with a delay.
 """
 
 import heapq
@@ -19,20 +19,20 @@
 __all__ = ["FleetLoad", "Run", "region_changes"]
 
 WARM, COLD = 0.59, 2.35
-"""Seconds of work for an object at hand, and for any other."""
-GOAL, PATIENCE = 1.25, 10.0
+"""Seconds of work for a warm object and for a cold one."""
+GOAL, TIMEOUT = 1.25, 10.0
 SLOTS, QUEUE = 4, 12
-NEWS_PERIOD = 0.25
+NEWS_PERIOD_S = 0.25
 SERVERS_BY_REGION = {"north": 9, "south": 10, "west": 2}
-"""Servers in each of the three zones of a region; the callers of the regions are equally many."""
+"""Servers in each of the three zones of a region; all regions have equally many callers."""
 ZONES = {f"{region}-{n}": region for region in SERVERS_BY_REGION for n in range(3)}
-WAYS = (0.001, 0.004, 0.041)
-"""Seconds there and back within a zone, a region, and beyond."""
+ROUND_TRIPS_S = (0.001, 0.004, 0.041)
+"""Round-trip times within a zone, within a region and between regions."""
 
 
 @dataclass(slots=True)
 class Run:
-    """One request: where its caller is, where it ran and when it was answered."""
+    """A request: the region of its caller, the region where it ran and when it was answered."""
 
     at: float
     home: str
@@ -56,22 +56,22 @@
 
 
 class FleetLoad:
-    """Nine entries, one a zone, before 63 servers of one service.
+    """Nine entries, one per zone, in front of 63 servers of one service.
 
     Parameters
     ----------
     size : int
-        Bytes of an answer.
+        Size of an answer in bytes.
     """
 
     def __init__(self, objects: int = 61, size: int = 400, seed: int = 1) -> None:
         self._rng = random.Random(seed)
         self._objects = objects
         self._size = size
-        self._route = replace(route(timeout=PATIENCE), goal=GOAL)
+        self._route = replace(route(timeout=TIMEOUT), goal=GOAL)
         self._servers: dict[str, _Server] = {}
         self._entries: dict[str, Steering] = {}
-        self._told: dict[str, Counter[int]] = {}
+        self._reported_in_flight: dict[str, Counter[int]] = {}
         self._warmed: list[tuple[str, int, int]] = []
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._numbers = itertools.count()
@@ -90,21 +90,21 @@
         return core
 
     def add_server(self, name: str, zone: str, now: float) -> None:
-        """Let a server join."""
+        """Register a new server at all entries."""
         self._servers[name] = _Server(name, zone)
         for entry in self._entries.values():
             entry.targets.registered(registration(name, zone=zone, slots=SLOTS), now)
 
     def remove_zone(self, zone: str) -> None:
-        """Take away all servers of a zone."""
+        """Remove all servers of a zone."""
         for name in [name for name, server in self._servers.items() if server.zone == zone]:
             for entry in self._entries.values():
                 entry.targets.removed(name)
 
-    def play(
+    def simulate(
         self, start: float, end: float, per_s: float, weights: dict[str, float] | None = None
     ) -> None:
-        """Play callers' requests; ``weights`` are the zones' parts of them, equal by default."""
+        """Simulate callers' requests; ``weights`` are the zones' shares, equal by default."""
         zones = list(ZONES)
         parts = [(weights or {}).get(zone, 1.0) for zone in zones]
         now = start
@@ -112,19 +112,19 @@
         while now < end:
             now += self._rng.expovariate(per_s)
             while tick <= now:
-                self._settle(tick)
-                self._tell(tick)
-                tick += NEWS_PERIOD
-            self._settle(now)
+                self._run_events(tick)
+                self._exchange_news(tick)
+                tick += NEWS_PERIOD_S
+            self._run_events(now)
             self._arrive(self._rng.choices(zones, parts)[0], now)
-        self._settle(end)
+        self._run_events(end)
 
     def finish(self) -> None:
-        """Let all that runs come to its end."""
-        self._settle(float("inf"))
+        """Run until all requests have ended."""
+        self._run_events(float("inf"))
 
     def in_time(self, start: float, end: float) -> float:
-        """Return the share of the requests of a span that were answered in time."""
+        """Return the share of the requests of a time span that were answered in time."""
         asked = [run for run in self.runs if start <= run.at < end]
         return sum(run.in_time for run in asked) / max(1, len(asked))
 
@@ -133,7 +133,7 @@
         self.runs.append(run)
         key = b"%d" % self._rng.randrange(self._objects)
         work = self._entries[zone].begin(
-            Arrival(f"r-{len(self.runs)}", "quay.example", "/times/x", key, PATIENCE), now
+            Arrival(f"r-{len(self.runs)}", "quay.example", "/times/x", key, TIMEOUT), now
         )
         assert isinstance(work, Work)
         self._send(zone, work, run, now)
@@ -146,17 +146,17 @@
         work.sent += 1
         server = self._servers[step.target.registration.target_id]
         run.region = ZONES[server.zone]
-        way = self._way(zone, server.zone)
+        transit = self._round_trip(zone, server.zone)
         if step.warms_object:
             self._warmed.append((zone, step.target.number, work.key or 0))
-        self._at(now + way / 2.0, lambda at: self._reach(zone, server, step, run, at))
+        self._schedule(now + transit / 2.0, lambda at: self._reach(zone, server, step, run, at))
 
     def _reach(self, zone: str, server: _Server, attempt: Attempt, run: Run, now: float) -> None:
         while server.starts and server.starts[0] <= now:
             server.starts.popleft()
-        way = self._way(zone, server.zone) / 2.0
+        transit = self._round_trip(zone, server.zone) / 2.0
         if len(server.starts) >= QUEUE:
-            self._at(now + way, lambda at: self._rejected(zone, attempt, run, at))
+            self._schedule(now + transit, lambda at: self._rejected(zone, attempt, run, at))
             return
         key = attempt.work.key or 0
         run.cold = key not in server.known
@@ -165,7 +165,7 @@
         ended = began + (COLD if run.cold else WARM)
         heapq.heapreplace(server.free, ended)
         server.starts.append(began)
-        self._at(ended + way, lambda at: self._answered(zone, attempt, run, at))
+        self._schedule(ended + transit, lambda at: self._answered(zone, attempt, run, at))
 
     def _rejected(self, zone: str, attempt: Attempt, run: Run, now: float) -> None:
         entry = self._entries[zone]
@@ -180,31 +180,31 @@
         self._entries[zone].record_answer_size(attempt.work, self._size)
         self._entries[zone].attempt_ended(attempt, Outcome.ANSWERED, now)
 
-    def _tell(self, now: float) -> None:
-        """Let what each entry said a period ago reach the others, and take what it says now."""
+    def _exchange_news(self, now: float) -> None:
+        """Deliver the reports that entries sent a period ago, and collect their new ones."""
         total: Counter[int] = Counter()
-        for counts in self._told.values():
+        for counts in self._reported_in_flight.values():
             total.update(counts)
         warmed, self._warmed = self._warmed, []
         for zone, entry in self._entries.items():
-            own = self._told.get(zone, Counter())
+            own = self._reported_in_flight.get(zone, Counter())
             for number, target in entry.targets.by_number.items():
                 target.elsewhere = total[number] - own[number]
             entry.loads.others_warmed([(n, key) for origin, n, key in warmed if origin != zone])
-        self._told = {
+        self._reported_in_flight = {
             zone: Counter({n: t.in_flight for n, t in entry.targets.by_number.items()})
             for zone, entry in self._entries.items()
         }
 
-    def _way(self, zone: str, other: str) -> float:
+    def _round_trip(self, zone: str, other: str) -> float:
         if zone == other:
-            return WAYS[0]
-        return WAYS[1] if ZONES[zone] == ZONES[other] else WAYS[2]
+            return ROUND_TRIPS_S[0]
+        return ROUND_TRIPS_S[1] if ZONES[zone] == ZONES[other] else ROUND_TRIPS_S[2]
 
-    def _at(self, moment: float, event: Callable[[float], None]) -> None:
+    def _schedule(self, moment: float, event: Callable[[float], None]) -> None:
         heapq.heappush(self._events, (moment, next(self._numbers), event))
 
-    def _settle(self, now: float) -> None:
+    def _run_events(self, now: float) -> None:
         while self._events and self._events[0][0] <= now:
             moment, _, event = heapq.heappop(self._events)
             event(moment)
@@ -213,9 +213,9 @@
 def region_changes(
     runs: list[Run], window: float, start: float, end: float
 ) -> dict[tuple[str, float], float]:
-    """Return by region and moment which share of its requests changed the region they run in.
+    """Return by region and time the share of its requests that moved to another region.
 
-    The windows before and after a moment are compared; moments are half a second apart.
+    The windows before and after each time are compared; the times are half a second apart.
     """
     changes: dict[tuple[str, float], float] = {}
     moment = start + window
--- a/tests/gateway/test_fleet_start.py
+++ b/tests/gateway/test_fleet_start.py
@@ -31,7 +31,7 @@
         refused = 0
         for seed in SEEDS:
             load = FleetLoad(seed=seed)
-            load.play(0.0, 6.0, PER_S)
+            load.simulate(0.0, 6.0, PER_S)
             load.finish()
             runs += load.runs
             refused += load.refused
@@ -42,7 +42,7 @@
     def test_large_answers_stay_near(self) -> None:
         """Guards against links between regions that are filled by what could run at home."""
         load = FleetLoad(size=90_000)
-        load.play(0.0, 14.0, PER_S / 2.0)
+        load.simulate(0.0, 14.0, PER_S / 2.0)
         load.finish()
         later = [run for run in load.runs if run.at >= 8.0]
         at_home = sum(run.region == run.home for run in later) / len(later)
@@ -57,11 +57,11 @@
         runs: list[Run] = []
         for seed in SEEDS:
             load = FleetLoad(seed=seed)
-            load.play(0.0, 8.0, PER_S)
-            load.play(8.0, 16.0, PER_S, {"west-0": 0.26, "north-0": 1.74})
-            load.play(16.0, 20.0, PER_S)
+            load.simulate(0.0, 8.0, PER_S)
+            load.simulate(8.0, 16.0, PER_S, {"west-0": 0.26, "north-0": 1.74})
+            load.simulate(16.0, 20.0, PER_S)
             load.remove_zone("south-1")
-            load.play(20.0, 26.0, PER_S)
+            load.simulate(20.0, 26.0, PER_S)
             load.finish()
             runs += load.runs
         changes = region_changes(runs, SHIFT_WINDOW, 0.0, 26.0)
