--- a/briarspur/gateway/chooser.py
+++ b/briarspur/gateway/chooser.py
@@ -33,8 +33,8 @@
 WARM_UP_INTERVAL_S = 0.5
 """Time between two objects that an entry warms up at a new server; each makes one caller wait for
 the cold time."""
-NEWCOMER_SHARE = 0.5
-"""A server with fewer warm objects than this share of its service's mean is a newcomer."""
+NEW_SERVER_SHARE = 0.5
+"""A server with fewer warm objects than this share of its service's mean is a new server."""
 COPY_BYTE_COST_FACTOR = 3.0
 """Weight of a byte compared to a cold run, as a multiple of its weight compared to a wait. A wait
 recurs with each request; a cold run happens once for all later requests."""
@@ -155,7 +155,7 @@
         if utilization(targets) <= MAX_COPY_UTILIZATION:
             warm_copy = self._warm_copy(best, criteria, criteria.key, targets, epoch, now)
         return (
-            warm_copy or self._newcomer(criteria, criteria.key, targets, epoch, span, now) or best
+            warm_copy or self._new_server(criteria, criteria.key, targets, epoch, span, now) or best
         )
 
     def _clearly_best_warm(
@@ -243,7 +243,7 @@
                 return choice
         return None
 
-    def _newcomer(
+    def _new_server(
         self,
         criteria: SelectionCriteria,
         key: int,
@@ -267,12 +267,12 @@
     def _warm_up(
         self, first: Target, criteria: SelectionCriteria, targets: Sequence[Target], now: float
     ) -> Choice | None:
-        if not self._is_newcomer(first, targets, criteria, now):
+        if not self._is_new_server(first, targets, criteria, now):
             return None
-        newcomer = self._best(criteria, [Ranked(first, 0.0)], now)
-        if newcomer is not None:
+        new_server = self._best(criteria, [Ranked(first, 0.0)], now)
+        if new_server is not None:
             first.warm_up_sent_at = now
-        return newcomer
+        return new_server
 
     def _best(
         self,
@@ -353,14 +353,14 @@
             cost += SUSPECT_COST_S
         return cost
 
-    def _is_newcomer(
+    def _is_new_server(
         self, target: Target, targets: Sequence[Target], criteria: SelectionCriteria, now: float
     ) -> bool:
         if target.load > 0 or target.cold_until > now or target.breaker.suspected(now):
             return False
         if now - target.warm_up_sent_at < WARM_UP_INTERVAL_S or not criteria.route.repeatable:
             return False
-        return len(target.warmth) < NEWCOMER_SHARE * mean_warm_objects(targets)
+        return len(target.warmth) < NEW_SERVER_SHARE * mean_warm_objects(targets)
 
     def _usable(self, target: Target, now: float) -> bool:
         if target.is_backing_off(now) or not target.breaker.allows(now):
--- a/briarspur/gateway/target.py
+++ b/briarspur/gateway/target.py
@@ -113,7 +113,7 @@
         return self.error_rate * max(0.0, 1.0 - DECAY_PER_S * (now - self._error_rate_at))
 
     def learn_slowdown(self, ratio: float, now: float) -> None:
-        """Add the ratio of a measured to the expected working time to the mean."""
+        """Add the ratio of an actual to the expected working time to the mean."""
         current = self.current_slowdown(now)
         slowdown = current + SLOWDOWN_WEIGHT * (ratio - current)
         self.slowdown = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, slowdown))
--- a/tests/gateway/test_steering.py
+++ b/tests/gateway/test_steering.py
@@ -267,7 +267,7 @@
     def test_an_entry_that_knows_no_server_yet_sends_a_short_retry_after(self) -> None:
         """Guards against a Retry-After of an entry at its start that uses up the callers' time.
 
-        The entry was ready after 0.35 s, but told callers to wait for 1 s of the 1.1 s they had.
+        The entry was ready after 0.35 s, but asked callers to wait for 1 s of the 1.1 s they had.
         """
         for core in (Steering("e", "a-1", "a", ZONE_REGIONS, Bounds()), steering(0)):
             step = core.begin(arrival(), 0.0)
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -61,7 +61,7 @@
     Mechanism("cost of cold runs", "chooser.py", "COLD_COST_SHARE = 0.5", "COLD_COST_SHARE = 0.0"),
     Mechanism("weight of trouble", "chooser.py", "ERROR_RATE_COST = 4.0", "ERROR_RATE_COST = 0.0"),
     Mechanism("suspicion", "chooser.py", "SUSPECT_COST_S = 2.0", "SUSPECT_COST_S = 0.0"),
-    Mechanism("newcomers", "chooser.py", "NEWCOMER_SHARE = 0.5", "NEWCOMER_SHARE = -1.0"),
+    Mechanism("newcomers", "chooser.py", "NEW_SERVER_SHARE = 0.5", "NEW_SERVER_SHARE = -1.0"),
     Mechanism("hedging", "steering.py", "HEDGE_SHARE = 0.5", "HEDGE_SHARE = 0.0"),
     Mechanism("breaker", "breaker.py", "MIN_PAUSE_S = 0.4", "MIN_PAUSE_S = 0.0"),
     Mechanism("load news", "loadview.py", "STALE = 1.5", "STALE = -1.0"),
