--- a/briarspur/gateway/gossip.py
+++ b/briarspur/gateway/gossip.py
@@ -53,10 +53,10 @@
 class NoticeKeeper(Protocol):
     """Keeps the limits and departures that backend servers advertise."""
 
-    def take_notices(self, notices: ToldNotices, now: float) -> None:
+    def record_notices(self, notices: ToldNotices, now: float) -> None:
         """Record the notices that another entry reported."""
 
-    def notices_to_tell(self, relays: bool, now: float) -> ToldNotices:
+    def notices_to_report(self, relays: bool, now: float) -> ToldNotices:
         """Return the notices to report; with those of other entries if this entry relays."""
 
 
@@ -141,7 +141,7 @@
             return False
         if self._notices is not None:
             # Each limit carries its own age, so those in a reordered message are valid, too.
-            self._notices.take_notices(news.notices, now)
+            self._notices.record_notices(news.notices, now)
         if not news.group:
             accepted = self._entry_news_received(news, now)
         elif news.group == ALL_OTHERS:
@@ -327,7 +327,7 @@
         if self._notices is None or part > 0:
             return NOTHING_SAID
         # Only aggregators pass on the notices that other entries reported.
-        return self._notices.notices_to_tell(self.groups.is_aggregator, now)
+        return self._notices.notices_to_report(self.groups.is_aggregator, now)
 
     def _send(self, news: News, entries: list[EntryRecord]) -> None:
         self._sender.send(news, [(entry.host, entry.news_port) for entry in entries])
--- a/tests/gateway/test_fleet_start.py
+++ b/tests/gateway/test_fleet_start.py
@@ -30,7 +30,7 @@
         refused = 0
         for seed in SEEDS:
             load = FleetLoad(seed=seed)
-            load.play(0.0, 6.0, REQUESTS_PER_S)
+            load.simulate(0.0, 6.0, REQUESTS_PER_S)
             load.finish()
             runs += load.runs
             refused += load.refused
@@ -41,7 +41,7 @@
     def test_requests_with_large_answers_stay_in_their_region(self) -> None:
         """Guards against filling the links between regions with requests that could run at home."""
         load = FleetLoad(size=90_000)
-        load.play(0.0, 14.0, REQUESTS_PER_S / 2.0)
+        load.simulate(0.0, 14.0, REQUESTS_PER_S / 2.0)
         load.finish()
         later = [run for run in load.runs if run.at >= 8.0]
         at_home = sum(run.region == run.home for run in later) / len(later)
@@ -56,11 +56,11 @@
         runs: list[Run] = []
         for seed in SEEDS:
             load = FleetLoad(seed=seed)
-            load.play(0.0, 8.0, REQUESTS_PER_S)
-            load.play(8.0, 16.0, REQUESTS_PER_S, {"west-0": 0.26, "north-0": 1.74})
-            load.play(16.0, 20.0, REQUESTS_PER_S)
+            load.simulate(0.0, 8.0, REQUESTS_PER_S)
+            load.simulate(8.0, 16.0, REQUESTS_PER_S, {"west-0": 0.26, "north-0": 1.74})
+            load.simulate(16.0, 20.0, REQUESTS_PER_S)
             load.remove_zone("south-1")
-            load.play(20.0, 26.0, REQUESTS_PER_S)
+            load.simulate(20.0, 26.0, REQUESTS_PER_S)
             load.finish()
             runs += load.runs
         changes = region_changes(runs, SHIFT_WINDOW_S, 0.0, 26.0)
