--- a/briarspur/gateway/app.py
+++ b/briarspur/gateway/app.py
@@ -115,7 +115,7 @@
             lambda: self.following.significant(),
             lambda: self.following.store_age(),
             self.steering.uses,
-            self.steering.quotas.worth_telling,
+            self.steering.quotas.worth_reporting,
             self.steering,
         )
         self.following = Following(
@@ -307,7 +307,7 @@
         self.gossip.members_changed(now)
         quotas = self.steering.quotas
         if now - quotas.started < quotas.window:
-            quotas.elder_heard = self.fleet.has_elder(quotas.window, now)
+            quotas.knows_older_entry = self.fleet.has_elder(quotas.window, now)
         self.steering.fleet_heard(self.fleet.heard_size(now))
         self.steering.limits.forget(now)
         entry_ids = self.fleet.entry_ids(now)
--- a/briarspur/gateway/exchange.py
+++ b/briarspur/gateway/exchange.py
@@ -213,7 +213,7 @@
 
     def _refuse(self, refused: Refused) -> None:
         if CODES[refused.code].ran is Ran.NO:
-            self._services.steering.quotas.not_run(self.work.customer)
+            self._services.steering.quotas.refund(self.work.customer)
         self._caller.refuse(refused)
         status = self._services.dialect.status(refused.code)
         self._finish(refused.code, status, refused.detail)
--- a/briarspur/gateway/gossip.py
+++ b/briarspur/gateway/gossip.py
@@ -13,7 +13,7 @@
 from briarspur.gateway.loadview import ALL_OTHERS, LoadView, MemberSeen, News, SeenEntries
 from briarspur.gateway.relay import Relay, split_counts
 from briarspur.gateway.replica import Kind
-from briarspur.gateway.servernotice import NOTHING_SAID, ToldNotices
+from briarspur.gateway.servernotice import NO_NOTICES, ReportedNotices
 
 __all__ = ["Gossip", "GossipSender"]
 
@@ -53,10 +53,10 @@
 class NoticeKeeper(Protocol):
     """Keeps what backend servers say of themselves."""
 
-    def take_notices(self, notices: ToldNotices, now: float) -> None:
+    def take_notices(self, notices: ReportedNotices, now: float) -> None:
         """Take what another entry says."""
 
-    def notices_to_tell(self, relays: bool, now: float) -> ToldNotices:
+    def notices_to_tell(self, relays: bool, now: float) -> ReportedNotices:
         """Return what the others are to be told; what others told, too, if this entry relays."""
 
 
@@ -320,10 +320,10 @@
             notices=self._notices_to_tell(now, part),
         )
 
-    def _notices_to_tell(self, now: float, part: int) -> ToldNotices:
+    def _notices_to_tell(self, now: float, part: int) -> ReportedNotices:
         """Return what servers said; the first part of a sum has it, and speakers pass it on."""
         if self._notices is None or part > 0:
-            return NOTHING_SAID
+            return NO_NOTICES
         return self._notices.notices_to_tell(self.groups.is_speaker, now)
 
     def _send(self, news: News, entries: list[EntryRecord]) -> None:
--- a/briarspur/gateway/loadview.py
+++ b/briarspur/gateway/loadview.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field, replace
 
 from briarspur.gateway.replica import Kind
-from briarspur.gateway.servernotice import NOTHING_SAID, ToldNotices
+from briarspur.gateway.servernotice import NO_NOTICES, ReportedNotices
 from briarspur.gateway.target import Target
 
 __all__ = [
@@ -83,7 +83,7 @@
         Seconds since the store confirmed them.
     seen : SeenEntries
         Entries that were heard lately.
-    notices : ToldNotices
+    notices : ReportedNotices
         What backend servers said of themselves.
     """
 
@@ -100,7 +100,7 @@
     parts: int = 1
     included: Mapping[int, int] = field(default_factory=dict)
     seen: SeenEntries = SeenEntries()
-    notices: ToldNotices = NOTHING_SAID
+    notices: ReportedNotices = NO_NOTICES
 
     def delayed(self, seconds: float) -> "News":
         """Return the same news as they are after some time on the way."""
--- a/briarspur/gateway/metricspage.py
+++ b/briarspur/gateway/metricspage.py
@@ -50,7 +50,7 @@
         page.value("targets", len(targets), service=service)
         suspected = sum(target.breaker.suspected(now) for target in targets)
         page.value("targets_suspected", suspected, service=service)
-        limited = gateway.steering.limits.limited(targets)
+        limited = gateway.steering.limits.count_limited(targets)
         page.value("targets_limited", limited, service=service)
         page.value("targets_resting", sum(t.rests(now) for t in targets), service=service)
         page.value("in_flight", sum(target.load for target in targets), service=service)
--- a/briarspur/gateway/news.py
+++ b/briarspur/gateway/news.py
@@ -12,7 +12,7 @@
 from briarspur.gateway.loadview import News, SeenEntries
 from briarspur.gateway.newsdelay import NewsDelays, sending_clock
 from briarspur.gateway.replica import FOLLOWED, Kind
-from briarspur.gateway.servernotice import NO_LIMIT, ToldLimit, ToldNotices
+from briarspur.gateway.servernotice import NO_LIMIT, ReportedLimit, ReportedNotices
 
 __all__ = ["NewsPort", "news_from_wire", "news_to_wire"]
 
@@ -147,9 +147,11 @@
             tuple(age * AGE_STEP for age in message.seen_ages),
             frozenset(message.leaving_seen),
         ),
-        notices=ToldNotices(
+        notices=ReportedNotices(
             tuple(
-                ToldLimit(number, _limit_from_wire(milli), age * AGE_STEP, held * AGE_STEP, hops)
+                ReportedLimit(
+                    number, _limit_from_wire(milli), age * AGE_STEP, held * AGE_STEP, hops
+                )
                 for number, milli, age, held, hops in limits
             ),
             tuple(message.leaving_targets),
--- a/briarspur/gateway/quotas.py
+++ b/briarspur/gateway/quotas.py
@@ -1,4 +1,4 @@
-"""The quotas of all customers at one entry, and what it tells the others of their use."""
+"""Enforces the quotas of all customers at one entry, and selects the counts that it reports."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
@@ -6,24 +6,24 @@
 from zlib import crc32
 
 from briarspur.gateway.customers import Customer
-from briarspur.gateway.quota import Quota, SharedUse, forecast
+from briarspur.gateway.quota import Quota, SharedUsage, forecast
 
 __all__ = ["OverQuota", "Quotas"]
 
-TELL_SHARE = 0.75
-"""Share of a limit from which all entries are told of a customer's use, soon expected use included;
-below it no entry has to know."""
-FIRST_NEWS = 2.0
-"""Seconds after its start in which an entry has yet to hear who lives."""
-SPARE_SHARE = 0.8
-"""Part of what a limit may be exceeded by that is used after all entries restarted; the rest is
-left for what is admitted while news are under way."""
-DRAWS = 1 << 32
+MIN_REPORTED_SHARE = 0.75
+"""Share of a limit from which a customer's usage is reported to all entries, with the requests
+expected soon included. Below it, no entry needs to know."""
+FIRST_NEWS_S = 2.0
+"""Time after its start in which an entry does not yet know which entries are live."""
+RESTART_OVERAGE_SHARE = 0.8
+"""Share of the permitted overage that may be used after all entries restarted; the rest is left for
+requests that are admitted while news are in transit."""
+HASH_RANGE = 1 << 32
 
 
 @dataclass(frozen=True, slots=True)
 class OverQuota:
-    """A request beyond its customer's quota.
+    """A request that exceeds its customer's quota.
 
     Attributes
     ----------
@@ -36,27 +36,27 @@
 
 
 @dataclass(slots=True)
-class _Limited:
-    """A customer with a limit, its use, and the numbers under which entries tell of it."""
+class _LimitedCustomer:
+    """The quota and usage of a customer, and the numbers under which entries report its counts."""
 
     quota: Quota
     admitted_number: int
-    asked_number: int
-    use: SharedUse = field(default_factory=SharedUse)
+    offered_number: int
+    usage: SharedUsage = field(default_factory=SharedUsage)
 
 
 class Quotas:
-    """Admits the requests of customers within their quotas, which hold over all entries.
+    """Admits requests of customers within their quotas, which apply to all entries together.
 
-    Use travels between entries as counts by number, like load; each customer has a number for what
-    was admitted, and one for what was asked for.
+    Entries exchange usage as counts by number, like load; each customer has one number for its
+    admitted requests and one for its offered requests.
 
     Parameters
     ----------
     known : callable
-        Returns what the others' news say of a number.
+        Returns the count that the other entries last reported for a number.
     overage, slack : float
-        By how much of a limit, and by how many requests, all entries may exceed it.
+        Fraction of a limit, and number of requests, by which all entries together may exceed it.
 
     Attributes
     ----------
@@ -65,13 +65,13 @@
     started : float
         When this process started, on the clock of ``now``.
     refusals_by_name : Counter
-        Requests beyond the quota, by customer.
+        Requests that exceeded the quota, by customer.
     live, recorded : int
-        Entries that are heard, this one included, and those that the store names. What those that
-        are not heard admit is unknown, so their part of each limit is left to them.
-    elder_heard : bool
-        Some other entry has run for longer than this one, so the counts that are heard tell of
-        times before this one's start.
+        Number of entries whose news are received, including this one, and of those recorded in the
+        store. What the others admit is unknown, so their part of each limit is reserved for them.
+    knows_older_entry : bool
+        Some other entry has run for longer than this one, so the received counts cover the time
+        before this one's start.
     """
 
     def __init__(
@@ -85,17 +85,17 @@
         self._overage = overage
         self._slack = slack
         self._known = known
-        self._limited_by_name: dict[str, _Limited] = {}
-        self._limited_by_number: dict[int, _Limited] = {}
-        self._active_by_name: dict[str, _Limited] = {}
+        self._limited_by_name: dict[str, _LimitedCustomer] = {}
+        self._limited_by_number: dict[int, _LimitedCustomer] = {}
+        self._active_by_name: dict[str, _LimitedCustomer] = {}
         self.started = float("-inf")
         self.refusals_by_name: Counter[str] = Counter()
         self.live = 1
         self.recorded = 1
-        self.elder_heard = False
+        self.knows_older_entry = False
 
     def configured(self, customers: Iterable[Customer]) -> None:
-        """Take the customers of a configuration; uses of those that stay are kept."""
+        """Apply the customers of a configuration; keep the usage of those that remain."""
         before, self._limited_by_name = self._limited_by_name, {}
         for customer in customers:
             if customer.per_s <= 0.0:
@@ -107,79 +107,79 @@
         self._limited_by_number = {
             number: limited
             for limited in self._limited_by_name.values()
-            for number in (limited.admitted_number, limited.asked_number)
+            for number in (limited.admitted_number, limited.offered_number)
         }
         self._active_by_name = dict(self._limited_by_name)
 
-    def refuse(self, customer: Customer | None, request_id: str, now: float) -> OverQuota | None:
-        """Count a request; return None if it lies within the quota."""
+    def check(self, customer: Customer | None, request_id: str, now: float) -> OverQuota | None:
+        """Count a request; return None if it is within the quota."""
         limited = None if customer is None else self._limited_by_name.get(customer.name)
         if customer is None or limited is None:
             return None
         self._active_by_name[customer.name] = limited
-        use, quota = limited.use, limited.quota.part(self._part(limited.quota, now))
-        if use.admit(quota, crc32(request_id.encode()) / DRAWS, now):
+        usage, quota = limited.usage, limited.quota.scaled(self._share(limited.quota, now))
+        if usage.admit(quota, crc32(request_id.encode()) / HASH_RANGE, now):
             return None
         self.refusals_by_name[customer.name] += 1
         return OverQuota(
-            use.retry_after(quota, now),
-            f"customer {customer.name}: {use.admitted(now, self.window)} admitted here and "
-            f"{use.elsewhere} elsewhere in {self.window:g} s, limit {quota.limit:g}",
+            usage.retry_after(quota, now),
+            f"customer {customer.name}: {usage.admitted(now, self.window)} admitted here and "
+            f"{usage.elsewhere} elsewhere in {self.window:g} s, limit {quota.limit:g}",
         )
 
-    def not_run(self, customer: Customer | None) -> None:
-        """Take back a request that was admitted and then refused by us."""
+    def refund(self, customer: Customer | None) -> None:
+        """Uncount a request that was admitted, but then refused by the gateway itself."""
         limited = None if customer is None else self._limited_by_name.get(customer.name)
         if limited is not None:
-            limited.use.not_run()
+            limited.usage.refund()
 
     def counts(self, now: float) -> Counter[int]:
-        """Return what this entry admitted and was asked for, by the numbers of customers."""
+        """Return how many requests this entry admitted and was offered, by customer number."""
         counts: Counter[int] = Counter()
         for name, limited in list(self._active_by_name.items()):
-            admitted = limited.use.admitted(now, self.window)
-            asked = limited.use.asked(now)
+            admitted = limited.usage.admitted(now, self.window)
+            offered = limited.usage.offered(now)
             if admitted:
                 counts[limited.admitted_number] = admitted
-            if asked:
-                counts[limited.asked_number] = asked
-            if not admitted and not asked:
+            if offered:
+                counts[limited.offered_number] = offered
+            if not admitted and not offered:
                 del self._active_by_name[name]
         return counts
 
-    def heard(self, number: int, change: int) -> None:
-        """Take a change of what the others admitted or were asked for."""
+    def received(self, number: int, change: int) -> None:
+        """Apply a change of how many requests the other entries admitted, or were offered."""
         limited = self._limited_by_number.get(number)
         if limited is not None:
-            limited.use.heard(change, asked=number == limited.asked_number)
+            limited.usage.received(change, is_offered=number == limited.offered_number)
 
-    def worth_telling(self, total: Mapping[int, int]) -> Counter[int]:
+    def worth_reporting(self, total: Mapping[int, int]) -> Counter[int]:
         """Return the counts of all entries without those of customers far below their limits."""
-        told = Counter(total)
+        reported = Counter(total)
         for limited in self._limited_by_name.values():
-            admitted, asked = limited.admitted_number, limited.asked_number
-            expected = forecast(total.get(admitted, 0), total.get(asked, 0))
-            if expected < TELL_SHARE * limited.quota.limit:
-                told.pop(admitted, None)
-                told.pop(asked, None)
-        return told
-
-    def _new(self, name: str, quota: Quota) -> "_Limited":
-        limited = _Limited(quota, _number("admitted", name), _number("asked", name))
-        limited.use.elsewhere = self._known(limited.admitted_number)
-        limited.use.asked_elsewhere = self._known(limited.asked_number)
+            admitted, offered = limited.admitted_number, limited.offered_number
+            expected = forecast(total.get(admitted, 0), total.get(offered, 0))
+            if expected < MIN_REPORTED_SHARE * limited.quota.limit:
+                reported.pop(admitted, None)
+                reported.pop(offered, None)
+        return reported
+
+    def _new(self, name: str, quota: Quota) -> "_LimitedCustomer":
+        limited = _LimitedCustomer(quota, _number("admitted", name), _number("asked", name))
+        limited.usage.elsewhere = self._known(limited.admitted_number)
+        limited.usage.offered_elsewhere = self._known(limited.offered_number)
         return limited
 
-    def _part(self, quota: Quota, now: float) -> float:
-        """Return the part of a limit that the entries which are heard may use."""
+    def _share(self, quota: Quota, now: float) -> float:
+        """Return the share of a limit that the live entries may use."""
         age = now - self.started
-        if self.elder_heard or age >= self.window:
-            heard = self.live / max(self.live, self.recorded)
-            return 1.0 if age < FIRST_NEWS else heard
-        # What the customer used before all entries started is unknown, and still counts.
-        spare = SPARE_SHARE * (self._overage * quota.limit + self._slack)
+        if self.knows_older_entry or age >= self.window:
+            live_share = self.live / max(self.live, self.recorded)
+            return 1.0 if age < FIRST_NEWS_S else live_share
+        # What the customer used before all entries started is unknown, but still counts.
+        spare = RESTART_OVERAGE_SHARE * (self._overage * quota.limit + self._slack)
         return min(1.0, age / self.window + spare / quota.limit)
 
 
-def _number(what: str, name: str) -> int:
-    return crc32(f"{what}/{name}".encode())
+def _number(kind: str, name: str) -> int:
+    return crc32(f"{kind}/{name}".encode())
--- a/briarspur/gateway/serverlimits.py
+++ b/briarspur/gateway/serverlimits.py
@@ -1,8 +1,9 @@
-"""The limits that backend servers name in their answers, which hold over all entries.
+"""Enforces the limits that backend servers advertise in their responses, over all entries together.
 
-The load this answers: more requests than a server in need takes, from many entries that each hear
-one answer of it in seconds. Entries tell one another which limits they have heard and what they
-sent, and admit by the sum, as they do for customers.
+This covers the case where many entries send an overloaded server more requests than it accepts,
+while each entry receives only one response from it in seconds. Entries report to one another the
+limits that they received and how many requests they sent, and admit requests by the total, as they
+do for customers.
 """
 
 from collections import Counter
@@ -12,79 +13,83 @@
 from zlib import crc32
 
 from briarspur import logs
-from briarspur.gateway.quota import HORIZON, Quota, SharedUse
+from briarspur.gateway.quota import HORIZON_S, Quota, SharedUsage
 from briarspur.gateway.ratehistory import RateHistory
-from briarspur.gateway.servernotice import FROM_ANSWER, FROM_ENTRY, NO_LIMIT, ToldLimit
+from briarspur.gateway.servernotice import FROM_ANSWER, FROM_ENTRY, NO_LIMIT, ReportedLimit
 from briarspur.gateway.target import Target
 
 __all__ = ["ServerLimits"]
 
-WINDOW = 4.0
-"""Seconds over which the requests at a server are counted."""
-LEAST_PER_S = 0.25
-"""Requests per second that a server gets which takes fewer: only an answer can end its limit."""
-TOLD_FOR = 1.0
-"""Seconds for which an entry tells the others of an answer; news come several times in it."""
-RELAYED_FOR = 2.0
-"""Seconds for which an entry that gathers news passes on what it was told."""
-TOLD_MARGIN = 0.1
-"""Seconds by which what another entry says must be later than what is known. What it says seems
-later by the way of its news."""
-MOST_HOPS = 2
-"""Entries that pass a limit on at most: a member's speaker and another group's. Each hop makes it
-seem younger by the way of its news; without a bound, entries would hand it round for ever."""
-LIFTED_KEPT = 5.0
-"""Seconds for which it is remembered and told that a limit was lifted. No later answer may tell an
-entry that does not ask the server."""
-MOST_TOLD = 40
-"""Limits in one message: some 360 bytes; the latest ones go first."""
-DRAWS = 1 << 32
+WINDOW_S = 4.0
+"""Time over which the requests sent to a server are counted."""
+MIN_PER_S = 0.25
+"""Requests per second that a server gets even if it advertises less: only a response can end its
+limit."""
+REPORT_FOR_S = 1.0
+"""Time for which an entry reports a response to the others; it sends several messages in it."""
+RELAY_FOR_S = 2.0
+"""Time for which an aggregator passes on what other entries reported to it."""
+REPORT_AGE_MARGIN_S = 0.1
+"""By how much a report must be newer than what is known. Reports seem newer than they are by the
+transit time of the news."""
+MAX_HOPS = 2
+"""Maximum number of entries that pass on a limit: a member's aggregator and that of another
+group. Each hop makes a limit seem newer by the transit time of the news; without a bound, entries
+would pass it around forever."""
+LIFTED_KEPT_S = 5.0
+"""Time for which the end of a limit is remembered and reported. An entry that sends nothing to the
+server may not learn of it from any later response."""
+MAX_REPORTED = 40
+"""Limits in one message, about 360 bytes; the newest are sent first."""
+HASH_RANGE = 1 << 32
 
 
 @dataclass(slots=True)
 class _Limit:
-    """What one incarnation of a server takes, and what it got.
+    """The limit of one incarnation of a server, and how many requests it got.
 
     Attributes
     ----------
     per_s : float
         Requests per second; :data:`NO_LIMIT` once it was lifted.
-    said_at : float
-        When the latest answer came that says so, on this entry's clock in seconds.
+    advertised_at : float
+        When the latest response that advertised the limit arrived, in seconds on this entry's
+        clock.
     since : float
-        When the server began to name limits, or named none any more, on that clock.
+        When the server began to advertise limits, or stopped doing so, on that clock.
     hops : int
-        Entries that it came through; 0 if the answer came here.
-    sent_number, asked_number : int
-        What entries call the counts of requests that were sent and that would have been.
+        Number of entries that passed it on; 0 if the response arrived at this entry.
+    sent_number, offered_number : int
+        Numbers under which entries exchange the counts of requests that were sent, and that would
+        have been sent without the limit.
     """
 
     target: Target
     per_s: float
-    said_at: float
+    advertised_at: float
     since: float
     hops: int
     sent_number: int
-    asked_number: int
-    use: SharedUse = field(default_factory=lambda: SharedUse(share=0.0))
-    history: RateHistory = field(default_factory=lambda: RateHistory(WINDOW))
+    offered_number: int
+    usage: SharedUsage = field(default_factory=lambda: SharedUsage(share=0.0))
+    history: RateHistory = field(default_factory=lambda: RateHistory(WINDOW_S))
 
 
 class ServerLimits:
-    """What each incarnation of a backend server says it takes, and whether it has room.
+    """Tracks the limit of each incarnation of a backend server, and decides whether it has room.
 
     Parameters
     ----------
     targets_by_number : mapping
-        The servers that are known.
+        The known servers.
     known : callable
-        Returns what the others' news say of a number.
+        Returns the count that the other entries last reported for a number.
 
     Attributes
     ----------
     live, recorded : int
-        Entries that are heard, this one included, and those that the store names. The part of a
-        limit that those may use which are not heard is left to them.
+        Number of entries whose news are received, including this one, and of those recorded in the
+        store. The part of a limit that the others may use is reserved for them.
     """
 
     def __init__(
@@ -95,137 +100,144 @@
         self._targets = targets_by_number
         self._known = known
         self._by_number: dict[int, _Limit] = {}
-        self._by_count: dict[int, _Limit] = {}
+        self._by_counter: dict[int, _Limit] = {}
         self.live = 1
         self.recorded = 1
 
-    # What is believed
+    # Known limits
 
     def answered(self, target: Target, per_s: float, now: float) -> None:
-        """Take the limit of an answer that came at this entry; :data:`NO_LIMIT` for none."""
-        self._take(target, ToldLimit(target.number, per_s, 0.0, 0.0), 0, now)
+        """Record the limit of a response that this entry received; :data:`NO_LIMIT` for none."""
+        self._record(target, ReportedLimit(target.number, per_s, 0.0, 0.0), 0, now)
 
-    def told(self, told: Iterable[ToldLimit], now: float) -> None:
-        """Take what another entry says, unless something later is known."""
-        for item in told:
+    def reported(self, reports: Iterable[ReportedLimit], now: float) -> None:
+        """Record the limits that another entry reported, unless newer ones are known."""
+        for item in reports:
             target = self._targets.get(item.number)
             if target is None:
                 continue
             limit = self._by_number.get(item.number)
-            if limit is None or now - item.age > limit.said_at + TOLD_MARGIN:
-                self._take(target, item, item.hops + 1, now)
-            elif item.per_s == limit.per_s and now - item.age > limit.said_at - TOLD_MARGIN:
-                # The same word by a shorter way: it may be passed on though the longer one may not.
+            if limit is None or now - item.age > limit.advertised_at + REPORT_AGE_MARGIN_S:
+                self._record(target, item, item.hops + 1, now)
+            elif (
+                item.per_s == limit.per_s
+                and now - item.age > limit.advertised_at - REPORT_AGE_MARGIN_S
+            ):
+                # The same limit by a shorter path, so it may be relayed even if the other may not.
                 limit.hops = min(limit.hops, item.hops + 1)
 
-    def to_tell(self, relays: bool, now: float) -> tuple[ToldLimit, ...]:
-        """Return what the other entries are to be told.
+    def to_report(self, relays: bool, now: float) -> tuple[ReportedLimit, ...]:
+        """Return the limits to report to other entries.
 
         Parameters
         ----------
         relays : bool
-            Also what other entries told.
+            Include limits that other entries reported.
         """
-        oldest = now - (RELAYED_FOR if relays else TOLD_FOR)
+        oldest = now - (RELAY_FOR_S if relays else REPORT_FOR_S)
         fresh = [
             limit
             for limit in self._by_number.values()
-            if limit.hops <= (MOST_HOPS if relays else 0)
-            and (limit.said_at >= oldest or limit.per_s == NO_LIMIT)
+            if limit.hops <= (MAX_HOPS if relays else 0)
+            and (limit.advertised_at >= oldest or limit.per_s == NO_LIMIT)
         ]
-        if len(fresh) > MOST_TOLD:
-            fresh = sorted(fresh, key=attrgetter("said_at"), reverse=True)[:MOST_TOLD]
+        if len(fresh) > MAX_REPORTED:
+            fresh = sorted(fresh, key=attrgetter("advertised_at"), reverse=True)[:MAX_REPORTED]
         return tuple(
-            ToldLimit(
+            ReportedLimit(
                 number=limit.target.number,
                 per_s=limit.per_s,
-                age=now - limit.said_at,
+                age=now - limit.advertised_at,
                 held=now - limit.since,
                 hops=limit.hops,
             )
             for limit in fresh
         )
 
-    def limited(self, targets: Iterable[Target]) -> int:
-        """Count the servers that have a limit."""
+    def count_limited(self, targets: Iterable[Target]) -> int:
+        """Return how many servers have a limit."""
         return sum(self.is_limited(target) for target in targets)
 
     def is_limited(self, target: Target) -> bool:
-        """Tell whether a server has a limit."""
+        """Return whether a server has a limit."""
         limit = self._by_number.get(target.number)
         return limit is not None and limit.per_s < NO_LIMIT
 
     def forget(self, now: float) -> None:
-        """Drop what is known of servers that are gone, and limits that ended a while ago."""
+        """Drop the limits of servers that are gone, and limits that ended some time ago."""
         for number, limit in list(self._by_number.items()):
-            lifted = limit.per_s == NO_LIMIT and now - limit.since > LIFTED_KEPT
+            lifted = limit.per_s == NO_LIMIT and now - limit.since > LIFTED_KEPT_S
             if lifted or self._targets.get(number) is not limit.target:
                 del self._by_number[number]
-                del self._by_count[limit.sent_number]
-                del self._by_count[limit.asked_number]
+                del self._by_counter[limit.sent_number]
+                del self._by_counter[limit.offered_number]
 
     # Requests
 
     def has_room(self, target: Target, request_id: str, now: float) -> bool:
-        """Tell whether a server may get a request that was chosen for it."""
+        """Return whether a server may get a request for which it was chosen."""
         limit = self._by_number.get(target.number)
         if limit is None or limit.per_s == NO_LIMIT:
             return True
-        # Drawn anew for each server: with one draw for all of them, a request that finds no room
-        # at one limited server would find none at any.
-        draw = crc32(f"{request_id}/{target.number}".encode()) / DRAWS
-        return limit.use.has_room(self._quota(limit, now), draw, now)
+        # A separate draw for each server: with the same draw for all of them, a request that finds
+        # no room at one limited server would find none at any.
+        draw = crc32(f"{request_id}/{target.number}".encode()) / HASH_RANGE
+        return limit.usage.has_room(self._quota(limit, now), draw, now)
 
     def sent(self, target: Target, now: float) -> None:
-        """Count a request that a server gets."""
+        """Count a request sent to a server."""
         limit = self._by_number.get(target.number)
         if limit is not None:
-            limit.use.take(now)
+            limit.usage.record_admitted(now)
 
     def not_sent(self, target: Target) -> None:
-        """Take back a request that did not leave."""
+        """Uncount a request that was not sent after all."""
         limit = self._by_number.get(target.number)
         if limit is not None:
-            limit.use.not_run()
+            limit.usage.refund()
 
     # Counts of all entries
 
     def counts(self, now: float) -> Counter[int]:
-        """Return what this entry sent, and what it would have sent, to limited servers."""
+        """Return how many requests this entry sent, or would have sent, to limited servers."""
         counts: Counter[int] = Counter()
         for limit in self._by_number.values():
-            sent, asked = limit.use.admitted(now, WINDOW), limit.use.asked(now)
+            sent, offered = limit.usage.admitted(now, WINDOW_S), limit.usage.offered(now)
             if sent:
                 counts[limit.sent_number] = sent
-            if asked:
-                counts[limit.asked_number] = asked
+            if offered:
+                counts[limit.offered_number] = offered
         return counts
 
-    def heard(self, number: int, change: int) -> None:
-        """Take a change of what the others sent or would have sent."""
-        limit = self._by_count.get(number)
+    def received(self, number: int, change: int) -> None:
+        """Apply a change of how many requests the other entries sent, or would have sent."""
+        limit = self._by_counter.get(number)
         if limit is not None:
-            limit.use.heard(change, asked=number == limit.asked_number)
+            limit.usage.received(change, is_offered=number == limit.offered_number)
 
-    # Parts
+    # Helpers
 
     def _quota(self, limit: _Limit, now: float) -> Quota:
-        """Return what the limit allowed over the window, and allows within :data:`HORIZON`.
+        """Return a quota of what the limit allowed over the window and allows within the horizon.
 
-        By the present limit alone a fall would end all requests for seconds, and a rise would let
-        those of a whole window come at once.
+        With the current limit alone, a decrease would stop all requests for seconds, and an
+        increase would admit those of a whole window at once.
         """
-        part = self.live / max(self.live, self.recorded)
-        return Quota(limit.history.mean(now), limit.per_s * HORIZON, WINDOW).part(part)
-
-    def _take(self, target: Target, said: ToldLimit, hops: int, now: float) -> None:
-        per_s, said_at, since = max(LEAST_PER_S, said.per_s), now - said.age, now - said.held
+        live_share = self.live / max(self.live, self.recorded)
+        return Quota(limit.history.mean(now), limit.per_s * HORIZON_S, WINDOW_S).scaled(live_share)
+
+    def _record(self, target: Target, report: ReportedLimit, hops: int, now: float) -> None:
+        per_s, advertised_at, since = (
+            max(MIN_PER_S, report.per_s),
+            now - report.age,
+            now - report.held,
+        )
         limit = self._by_number.get(target.number)
         if limit is None:
             if per_s == NO_LIMIT:
                 return
-            limit = self._new(target, said_at, now)
-        limit.said_at, limit.hops = said_at, hops
+            limit = self._new(target, advertised_at, now)
+        limit.advertised_at, limit.hops = advertised_at, hops
         if per_s == limit.per_s:
             return
         if per_s == NO_LIMIT:
@@ -242,21 +254,21 @@
             service=target.registration.service,
             per_s="none" if per_s == NO_LIMIT else f"{per_s:.2f}",
             source=FROM_ENTRY if hops else FROM_ANSWER,
-            age_s=f"{said.age:.3f}",
+            age_s=f"{report.age:.3f}",
         )
 
-    def _new(self, target: Target, said_at: float, now: float) -> _Limit:
-        """Return a limit that counts what the server has of this entry already."""
-        sent, asked = _number("sent", target), _number("asked", target)
-        limit = _Limit(target, NO_LIMIT, said_at, said_at, 0, sent, asked)
+    def _new(self, target: Target, advertised_at: float, now: float) -> _Limit:
+        """Return a new limit that counts the requests already in flight from this entry."""
+        sent, offered = _number("sent", target), _number("asked", target)
+        limit = _Limit(target, NO_LIMIT, advertised_at, advertised_at, 0, sent, offered)
         for _ in range(target.in_flight):
-            limit.use.take(now)
-        limit.use.elsewhere = self._known(sent)
-        limit.use.asked_elsewhere = self._known(asked)
+            limit.usage.record_admitted(now)
+        limit.usage.elsewhere = self._known(sent)
+        limit.usage.offered_elsewhere = self._known(offered)
         self._by_number[target.number] = limit
-        self._by_count[sent] = self._by_count[asked] = limit
+        self._by_counter[sent] = self._by_counter[offered] = limit
         return limit
 
 
-def _number(what: str, target: Target) -> int:
-    return crc32(f"{what}/{target.number}".encode())
+def _number(kind: str, target: Target) -> int:
+    return crc32(f"{kind}/{target.number}".encode())
--- a/briarspur/gateway/servernotice.py
+++ b/briarspur/gateway/servernotice.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself in an answer."""
+"""Notices about itself that a backend server includes in its responses."""
 
 import math
 from dataclasses import dataclass, replace
@@ -6,33 +6,34 @@
 __all__ = [
     "FROM_ANSWER",
     "FROM_ENTRY",
-    "NOTHING_SAID",
     "NO_LIMIT",
+    "NO_NOTICES",
+    "ReportedLimit",
+    "ReportedNotices",
     "ServerNotice",
-    "ToldLimit",
-    "ToldNotices",
 ]
 
 NO_LIMIT = math.inf
-"""Requests per second of a server that names no limit."""
+"""Requests per second of a server that advertises no limit."""
 FROM_ANSWER = "answer"
 FROM_ENTRY = "entry"
-"""Who told what a server says: an answer of its own, or another entry."""
+"""Source of a notice: a response of the server itself, or another entry."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerNotice:
-    """What the head of one answer says of the server that sent it.
+    """The notices in the head of one response, about the server that sent it.
 
     Attributes
     ----------
     limit_per_s : float or None
-        Requests per second that the server takes from all entries together, :data:`NO_LIMIT` if it
-        names none; None if the answer does not tell, so that what it said earlier holds.
+        Requests per second that the server accepts from all entries together, :data:`NO_LIMIT` if
+        it advertises none; None if the response does not say, so that the earlier limit still
+        applies.
     leaving : bool
-        The server takes no new work any more.
+        The server no longer accepts new work.
     rest : float
-        Seconds from now on in which the server wants nothing from this entry.
+        Seconds from now on in which the server wants no requests from this entry.
     """
 
     limit_per_s: float | None = None
@@ -41,8 +42,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldLimit:
-    """A limit as one entry tells it to another.
+class ReportedLimit:
+    """A limit as one entry reports it to another.
 
     Attributes
     ----------
@@ -51,11 +52,12 @@
     per_s : float
         Requests per second from all entries; :data:`NO_LIMIT` if it was lifted.
     age : float
-        Seconds since the answer came that says so.
+        Seconds since the response that advertised it arrived.
     held : float
-        Seconds for which the server has named limits without a break.
+        Seconds for which the server has advertised limits without interruption.
     hops : int
-        Entries that have passed it on; 0 if the answer came at the one that tells it.
+        Number of entries that passed it on; 0 if the reporting entry received the response
+        itself.
     """
 
     number: int
@@ -66,24 +68,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldNotices:
-    """What servers said of themselves, as one entry tells it to another.
+class ReportedNotices:
+    """Notices of servers, as one entry reports them to another.
 
     Attributes
     ----------
-    limits : tuple of ToldLimit
-        What they said lately that they take.
+    limits : tuple of ReportedLimit
+        The limits that servers advertised recently.
     leaving : tuple of int
-        Those that said lately that they leave, by number.
+        Numbers of the servers that recently announced that they are leaving.
     """
 
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[ReportedLimit, ...] = ()
     leaving: tuple[int, ...] = ()
 
-    def delayed(self, seconds: float) -> "ToldNotices":
-        """Return the same as it is after some time on the way."""
+    def delayed(self, seconds: float) -> "ReportedNotices":
+        """Return the same notices, aged by a transit time."""
         limits = (replace(limit, age=limit.age + seconds) for limit in self.limits)
-        return ToldNotices(tuple(limits), self.leaving)
+        return ReportedNotices(tuple(limits), self.leaving)
 
 
-NOTHING_SAID = ToldNotices()
+NO_NOTICES = ReportedNotices()
--- a/briarspur/gateway/steering.py
+++ b/briarspur/gateway/steering.py
@@ -18,7 +18,7 @@
 from briarspur.gateway.quotas import Quotas
 from briarspur.gateway.retrybudget import RetryBudget
 from briarspur.gateway.serverlimits import ServerLimits
-from briarspur.gateway.servernotice import FROM_ANSWER, ServerNotice, ToldNotices
+from briarspur.gateway.servernotice import FROM_ANSWER, ReportedNotices, ServerNotice
 from briarspur.gateway.target import Target
 from briarspur.gateway.targettable import TargetTable
 from briarspur.gateway.transit import TransitTimes
@@ -134,7 +134,7 @@
         if isinstance(allowed, Refused):
             return allowed
         route, customer = allowed.route, allowed.customer
-        over = self.quotas.refuse(customer, arrival.request_id, now)
+        over = self.quotas.check(customer, arrival.request_id, now)
         if over is not None:
             return Refused(Code.QUOTA_SPENT, over.retry_after, over.detail)
         patience = min(arrival.patience, route.timeout)
@@ -169,7 +169,7 @@
         choice = self._choose(work, work.regions, targets, now)
         if choice is None:
             suspected = sum(target.breaker.suspected(now) for target in targets)
-            limited = self.limits.limited(targets)
+            limited = self.limits.count_limited(targets)
             resting = sum(target.rests(now) for target in targets)
             detail = (
                 f"none of {len(targets)} targets in time, {suspected} suspected, "
@@ -203,14 +203,16 @@
         if notice.rest > 0.0:
             self.targets.rests(target, notice.rest, now)
 
-    def take_notices(self, notices: ToldNotices, now: float) -> None:
+    def take_notices(self, notices: ReportedNotices, now: float) -> None:
         """Take what servers said to other entries."""
-        self.limits.told(notices.limits, now)
+        self.limits.reported(notices.limits, now)
         self.targets.told_leaving(notices.leaving, now)
 
-    def notices_to_tell(self, relays: bool, now: float) -> ToldNotices:
+    def notices_to_tell(self, relays: bool, now: float) -> ReportedNotices:
         """Return what servers said, for the other entries; if it relays, what others told, too."""
-        return ToldNotices(self.limits.to_tell(relays, now), self.targets.leaving_to_tell(now))
+        return ReportedNotices(
+            self.limits.to_report(relays, now), self.targets.leaving_to_tell(now)
+        )
 
     def overdue(self, attempt: Attempt, now: float) -> None:
         """Note that an attempt takes far longer than expected."""
@@ -292,8 +294,8 @@
         return None
 
     def _count_changed(self, number: int, change: int) -> None:
-        self.quotas.heard(number, change)
-        self.limits.heard(number, change)
+        self.quotas.received(number, change)
+        self.limits.received(number, change)
 
     def _send(self, work: Work, choice: Choice, now: float) -> Attempt:
         target = choice.target
--- a/tests/gateway/noticefleet.py
+++ b/tests/gateway/noticefleet.py
@@ -143,7 +143,7 @@
             dict,
             lambda: 0.0,
             self.steering.uses,
-            self.steering.quotas.worth_telling,
+            self.steering.quotas.worth_reporting,
             self.steering,
         )
 
@@ -232,7 +232,7 @@
         for entry_id, entry in self.entries_by_name.items():
             target = entry.steering.targets.get(name)
             assert target is not None
-            if entry.steering.limits.limited([target]):
+            if entry.steering.limits.count_limited([target]):
                 found.add(entry_id)
         return found
 
--- a/tests/gateway/test_exchange_notices.py
+++ b/tests/gateway/test_exchange_notices.py
@@ -31,7 +31,9 @@
         async def check(caller: Recorder, exchange: Exchange, backends: list[RawBackend]) -> None:
             await eventually(lambda: caller.over)
             steering = exchange._services.steering
-            self.assertEqual(expected, steering.limits.limited(steering.targets.by_service["info"]))
+            self.assertEqual(
+                expected, steering.limits.count_limited(steering.targets.by_service["info"])
+            )
 
         self.play(scripts, check, path)
 
@@ -54,7 +56,7 @@
         async def check(caller: Recorder, exchange: Exchange, backends: list[RawBackend]) -> None:
             await eventually(lambda: caller.begun == 1)
             steering = exchange._services.steering
-            self.assertEqual(1, steering.limits.limited(steering.targets.by_service["info"]))
+            self.assertEqual(1, steering.limits.count_limited(steering.targets.by_service["info"]))
 
         self.play([noting(begins, b"Server-Limit: 2")], check)
 
@@ -68,7 +70,7 @@
             exchange.caller_gone()
             await eventually(lambda: bool(caller.outcomes))
             steering = exchange._services.steering
-            self.assertEqual(1, steering.limits.limited(steering.targets.by_service["info"]))
+            self.assertEqual(1, steering.limits.count_limited(steering.targets.by_service["info"]))
 
         self.play([noting(late, b"Server-Limit: 2")], check, path="/book/1")
 
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -9,7 +9,7 @@
 from briarspur.gateway.loadview import News, SeenEntries
 from briarspur.gateway.news import AGE_STEP, NewsPort, news_from_wire, news_to_wire
 from briarspur.gateway.replica import Kind
-from briarspur.gateway.servernotice import NO_LIMIT, ToldLimit, ToldNotices
+from briarspur.gateway.servernotice import NO_LIMIT, ReportedLimit, ReportedNotices
 
 NUMBER = st.integers(0, 2**32 - 1)
 SEQUENCE = st.integers(1, 2**31)
@@ -47,8 +47,8 @@
             self.assertAlmostEqual(told, age)
 
     def test_what_servers_say_is_told_with_its_age(self) -> None:
-        limits = (ToldLimit(1, 1.7, 0.1, 0.5), ToldLimit(2, NO_LIMIT, 0.0, 99.0))
-        sent = News("e-1", 1, 1, False, {}, notices=ToldNotices(limits, (7, 9)))
+        limits = (ReportedLimit(1, 1.7, 0.1, 0.5), ReportedLimit(2, NO_LIMIT, 0.0, 99.0))
+        sent = News("e-1", 1, 1, False, {}, notices=ReportedNotices(limits, (7, 9)))
         notices = news_from_wire(news_to_wire(sent, 1.0))[0].delayed(0.2).notices
         self.assertEqual((7, 9), notices.leaving)
         read = notices.limits
--- a/tests/gateway/test_notice_machine.py
+++ b/tests/gateway/test_notice_machine.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from briarspur.gateway.outcome import Outcome
-from briarspur.gateway.servernotice import NO_LIMIT, ServerNotice, ToldLimit, ToldNotices
+from briarspur.gateway.servernotice import NO_LIMIT, ReportedLimit, ReportedNotices, ServerNotice
 from briarspur.gateway.target import Target
 from briarspur.gateway.work import Attempt
 from tests.gateway.samples import begun, registration, steering
@@ -84,11 +84,11 @@
     def another_entry_tells(self, name: str, limit: float, leaves: bool) -> None:
         """Take a word that came at another entry half a second ago."""
         target = self._target(name)
-        told = (ToldLimit(target.number, limit, 0.5, 0.5),)
+        told = (ReportedLimit(target.number, limit, 0.5, 0.5),)
         leaving = (target.number,) if leaves else ()
         steps = self.limits.get(target.number, [])
         later = not steps or steps[-1][0] < self.now - 0.7
-        self.steering.take_notices(ToldNotices(told if later else (), leaving), self.now)
+        self.steering.take_notices(ReportedNotices(told if later else (), leaving), self.now)
         self._model(target.number, ServerNotice(limit if later else None, leaves))
 
     @rule(name=NAMES, restarts=st.booleans())
--- a/tests/gateway/test_server_leaving.py
+++ b/tests/gateway/test_server_leaving.py
@@ -4,7 +4,7 @@
 
 from briarspur.codes import Code
 from briarspur.gateway.outcome import Outcome
-from briarspur.gateway.servernotice import ServerNotice, ToldNotices
+from briarspur.gateway.servernotice import ReportedNotices, ServerNotice
 from briarspur.gateway.work import Refused
 from tests.gateway.noticefleet import NoticeFleet
 from tests.gateway.samples import begun, registration, sent, steering
@@ -79,7 +79,7 @@
         told = self.steering.notices_to_tell(False, 0.2)
         self.assertEqual((self.target.number,), told.leaving)
         other = steering(2, me="entry-2")
-        other.take_notices(ToldNotices(leaving=(1, *told.leaving)), 0.3)
+        other.take_notices(ReportedNotices(leaving=(1, *told.leaving)), 0.3)
         left = other.targets.get(self.target.registration.target_id)
         assert left is not None
         self.assertFalse(other.targets.takes_work(left, 1.0))
--- a/tests/gateway/test_server_limits.py
+++ b/tests/gateway/test_server_limits.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from briarspur.codes import Code
-from briarspur.gateway.servernotice import NO_LIMIT, ToldLimit
+from briarspur.gateway.servernotice import NO_LIMIT, ReportedLimit
 from briarspur.gateway.work import Refused
 from tests.gateway.noticefleet import NoticeFleet
 from tests.gateway.samples import begun, registration, sent, steering
@@ -138,7 +138,7 @@
         self.limits = self.steering.limits
 
     def limited(self) -> int:
-        return self.limits.limited([self.target])
+        return self.limits.count_limited([self.target])
 
     def test_a_server_that_takes_nothing_is_asked_from_time_to_time(self) -> None:
         """Guards against a server that is shut out for ever since nobody hears it recover."""
@@ -154,9 +154,9 @@
     def test_an_older_word_of_another_entry_does_not_count(self) -> None:
         self.limits.answered(self.target, NO_LIMIT, 10.0)
         self.limits.answered(self.target, 2.0, 11.0)
-        self.limits.told([ToldLimit(self.target.number, NO_LIMIT, 1.0, 1.0)], 11.5)
+        self.limits.reported([ReportedLimit(self.target.number, NO_LIMIT, 1.0, 1.0)], 11.5)
         self.assertEqual(1, self.limited())
-        self.limits.told([ToldLimit(self.target.number, NO_LIMIT, 0.1, 0.1)], 11.5)
+        self.limits.reported([ReportedLimit(self.target.number, NO_LIMIT, 0.1, 0.1)], 11.5)
         self.assertEqual(0, self.limited())
 
     def test_the_end_of_a_limit_is_told_for_a_while_only(self) -> None:
@@ -165,17 +165,17 @@
         for step in range(80):
             self.limits.answered(self.target, NO_LIMIT, 2.0 + step * 0.1)
         self.limits.forget(4.0)
-        self.assertEqual(1, len(self.limits.to_tell(False, 4.0)))
+        self.assertEqual(1, len(self.limits.to_report(False, 4.0)))
         self.limits.forget(9.9)
-        self.assertEqual((), self.limits.to_tell(False, 9.9))
+        self.assertEqual((), self.limits.to_report(False, 9.9))
 
     def test_a_new_incarnation_has_no_limit(self) -> None:
         self.limits.answered(self.target, 2.0, 1.0)
         self.steering.targets.registered(registration("t-0", born=2), 2.0)
         self.limits.forget(2.0)
         self.assertEqual(0, self.limited())
-        self.assertEqual(0, self.limits.limited(self.steering.targets.by_service["info"]))
-        self.assertEqual((), self.limits.to_tell(True, 2.0))
+        self.assertEqual(0, self.limits.count_limited(self.steering.targets.by_service["info"]))
+        self.assertEqual((), self.limits.to_report(True, 2.0))
 
     def test_what_it_has_when_the_limit_is_first_heard_counts(self) -> None:
         for _ in range(2):
--- a/tools/limitways.py
+++ b/tools/limitways.py
@@ -24,7 +24,7 @@
 from briarspur.coord.rendezvous import rank  # noqa: E402
 from briarspur.gateway.registration import Registration  # noqa: E402
 from briarspur.gateway.serverlimits import ServerLimits  # noqa: E402
-from briarspur.gateway.servernotice import ToldLimit  # noqa: E402
+from briarspur.gateway.servernotice import ReportedLimit  # noqa: E402
 from briarspur.gateway.target import Target  # noqa: E402
 from briarspur.gateway.tokens import TokenBucket  # noqa: E402
 
@@ -166,14 +166,14 @@
 
     def _hear(self, entry: int, limits: ServerLimits, now: float) -> None:
         told = [
-            ToldLimit(number, per_s, now - at, now - NAMED_AT)
+            ReportedLimit(number, per_s, now - at, now - NAMED_AT)
             for number, (at, per_s) in self._told.limits_by_number.items()
         ]
-        limits.told(told, now)
+        limits.reported(told, now)
         others = self._told.total - self._told.counts_by_entry[entry]
         known = self._applied[entry]
         for number in others.keys() | known.keys():
-            limits.heard(number, others[number] - known[number])
+            limits.received(number, others[number] - known[number])
         self._applied[entry] = others
 
 
--- a/tools/quotaways.py
+++ b/tools/quotaways.py
@@ -52,15 +52,15 @@
         if under_way[0][0] > now:
             return
         counts = under_way.pop(0)[1]
-        total = made[0].worth_telling(sum(counts, Counter()))
+        total = made[0].worth_reporting(sum(counts, Counter()))
         for entry, quotas in enumerate(made):
             others = total - counts[entry]
             for number in others.keys() | known[entry].keys():
-                quotas.heard(number, others[number] - known[entry][number])
+                quotas.received(number, others[number] - known[entry][number])
             known[entry] = others
 
     def admits(entry: int, request_id: str, now: float) -> bool:
-        return made[entry].refuse(customer, request_id, now) is None
+        return made[entry].check(customer, request_id, now) is None
 
     return admits, tell
 
