--- a/tests/gateway/test_exchange_notices.py
+++ b/tests/gateway/test_exchange_notices.py
@@ -1,4 +1,4 @@
-"""Tests that what a server says of itself counts, whatever becomes of the answer that says it."""
+"""Tests that notices of a server are recorded, whatever the outcome of the response."""
 
 import asyncio
 
@@ -8,8 +8,8 @@
 from tests.loop import eventually
 
 
-def noting(script: Script, *lines: bytes) -> Script:
-    """Return a script whose answer carries further header lines."""
+def with_headers(script: Script, *lines: bytes) -> Script:
+    """Return a script whose response has additional header lines."""
 
     async def plays(connection: Connection, head: bytes) -> None:
         write = connection.writer.write
@@ -23,10 +23,10 @@
 
 
 class NoticeTest(ExchangeCase):
-    """What a server says of itself counts whatever becomes of the answer that says it."""
+    """Notices of a server are recorded whatever the outcome of the response."""
 
-    def limited(self, scripts: list[Script], expected: int, path: str = "/times/1") -> None:
-        """Check how many servers are believed to be limited once the caller has its answer."""
+    def check_limited(self, scripts: list[Script], expected: int, path: str = "/times/1") -> None:
+        """Check how many servers are considered limited once the caller has its response."""
 
         async def check(caller: Recorder, exchange: Exchange, backends: list[RawBackend]) -> None:
             await eventually(lambda: caller.over)
@@ -37,7 +37,9 @@
 
         self.play(scripts, check, path)
 
-    def test_it_counts_in_answers_rejections_errors_and_cut_answers(self) -> None:
+    def test_limits_are_recorded_from_responses_rejections_errors_and_truncated_responses(
+        self,
+    ) -> None:
         async def errs(connection: Connection, head: bytes) -> None:
             connection.writer.write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 
@@ -46,10 +48,10 @@
             connection.writer.close()
 
         for script in (sheds, errs, cuts):
-            self.limited([noting(script, b"Server-Limit: 1.7"), answers], 1)
-        self.limited([noting(answers, b"Server-Limit: 1.7")], 1)
+            self.check_limited([with_headers(script, b"Server-Limit: 1.7"), answers], 1)
+        self.check_limited([with_headers(answers, b"Server-Limit: 1.7")], 1)
 
-    def test_it_counts_when_the_head_of_a_long_answer_comes(self) -> None:
+    def test_a_limit_is_recorded_when_the_head_of_a_long_response_arrives(self) -> None:
         async def begins(connection: Connection, head: bytes) -> None:
             connection.writer.write(whole(head, b"x" * 600_000)[:1000])
 
@@ -58,9 +60,9 @@
             steering = exchange._services.steering
             self.assertEqual(1, steering.limits.count_limited(steering.targets.by_service["info"]))
 
-        self.play([noting(begins, b"Server-Limit: 2")], check)
+        self.play([with_headers(begins, b"Server-Limit: 2")], check)
 
-    def test_it_counts_for_a_booking_whose_caller_has_gone(self) -> None:
+    def test_a_limit_is_recorded_for_a_booking_whose_caller_disconnected(self) -> None:
         async def late(connection: Connection, head: bytes) -> None:
             await asyncio.sleep(0.2)
             connection.writer.write(whole(head))
@@ -72,9 +74,11 @@
             steering = exchange._services.steering
             self.assertEqual(1, steering.limits.count_limited(steering.targets.by_service["info"]))
 
-        self.play([noting(late, b"Server-Limit: 2")], check, path="/book/1")
+        self.play([with_headers(late, b"Server-Limit: 2")], check, path="/book/1")
 
-    def test_the_answer_of_another_server_or_to_another_request_says_nothing(self) -> None:
+    def test_notices_in_a_response_of_another_server_or_to_another_request_are_ignored(
+        self,
+    ) -> None:
         async def misdirected(connection: Connection, head: bytes) -> None:
             connection.writer.write(b"HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n")
 
@@ -85,4 +89,4 @@
             )
 
         for script in (misdirected, foreign):
-            self.limited([noting(script, b"Server-Limit: 1.7"), answers], 0)
+            self.check_limited([with_headers(script, b"Server-Limit: 1.7"), answers], 0)
--- a/tests/gateway/test_notice_machine.py
+++ b/tests/gateway/test_notice_machine.py
@@ -1,4 +1,4 @@
-"""A state machine over what servers say of themselves: limits, leaving and rest, in any order."""
+"""A state machine over notices of servers: limits, leaving and backoff, in any order."""
 
 import unittest
 
@@ -24,29 +24,29 @@
 
 
 class NoticeMachine(RuleBasedStateMachine):
-    """One entry and three servers; the model keeps only what was said last, and when."""
+    """One entry and three servers; the model keeps only the latest notices and their times."""
 
     @initialize()
     def start(self) -> None:
-        """Begin with servers that have said nothing."""
+        """Begin with servers that have sent no notices."""
         self.now = 100.0
         self.steering = steering(SERVERS, slots=4)
         self.count = 0
         self.running: list[Attempt] = []
         self.leaving: set[int] = set()
-        self.rest_until: dict[int, float] = {}
+        self.backoff_until: dict[int, float] = {}
         self.limits: dict[int, list[tuple[float, float]]] = {}
         self.sent: dict[int, list[float]] = {}
 
     @rule(seconds=st.sampled_from([0.01, 0.1, 0.5, 2.0]))
     def time_passes(self, seconds: float) -> None:
-        """Move the clock."""
+        """Advance the clock."""
         self.now += seconds
         self.steering.limits.forget(self.now)
 
     @rule(number=st.integers(1, 12))
-    def requests_come(self, number: int) -> None:
-        """Let some requests come at once."""
+    def requests_arrive(self, number: int) -> None:
+        """Send some requests at once."""
         for _ in range(number):
             self.count += 1
             work = begun(self.steering, self.now, request_id=f"r-{self.count}", key=None)
@@ -57,8 +57,8 @@
                 self.running.append(step)
 
     @rule(notice=NOTICES, outcome=st.sampled_from([Outcome.ANSWERED, Outcome.REJECTED]))
-    def an_answer_comes(self, notice: ServerNotice, outcome: Outcome) -> None:
-        """End the oldest attempt with an answer, and send a rejected request again."""
+    def a_response_arrives(self, notice: ServerNotice, outcome: Outcome) -> None:
+        """End the oldest attempt with a response, and retry a rejected request."""
         if not self.running:
             return
         attempt = self.running.pop(0)
@@ -72,56 +72,58 @@
                 self.running.append(again)
 
     @rule(limit=st.sampled_from([0.0, 1.0, 3.0]))
-    def all_servers_are_in_need_for_a_while(self, limit: float) -> None:
-        """Let many requests come, and every answer name a limit."""
+    def all_servers_are_overloaded(self, limit: float) -> None:
+        """Send many requests, and let every response advertise a limit."""
         for _ in range(60):
             self.time_passes(0.1)
-            self.requests_come(3)
+            self.requests_arrive(3)
             while self.running:
-                self.an_answer_comes(ServerNotice(limit), Outcome.ANSWERED)
+                self.a_response_arrives(ServerNotice(limit), Outcome.ANSWERED)
 
     @rule(name=NAMES, limit=st.sampled_from([NO_LIMIT, 1.0]), leaves=st.booleans())
-    def another_entry_tells(self, name: str, limit: float, leaves: bool) -> None:
-        """Take a word that came at another entry half a second ago."""
+    def another_entry_reports(self, name: str, limit: float, leaves: bool) -> None:
+        """Record notices that another entry received half a second ago."""
         target = self._target(name)
-        told = (ReportedLimit(target.number, limit, 0.5, 0.5),)
+        reported = (ReportedLimit(target.number, limit, 0.5, 0.5),)
         leaving = (target.number,) if leaves else ()
         steps = self.limits.get(target.number, [])
-        later = not steps or steps[-1][0] < self.now - 0.7
-        self.steering.take_notices(ReportedNotices(told if later else (), leaving), self.now)
-        self._model(target.number, ServerNotice(limit if later else None, leaves))
+        is_newer = not steps or steps[-1][0] < self.now - 0.7
+        self.steering.take_notices(ReportedNotices(reported if is_newer else (), leaving), self.now)
+        self._model(target.number, ServerNotice(limit if is_newer else None, leaves))
 
     @rule(name=NAMES, restarts=st.booleans())
-    def a_registration_comes(self, name: str, restarts: bool) -> None:
-        """Renew a registration, or let the server start again as a new incarnation."""
+    def a_registration_arrives(self, name: str, restarts: bool) -> None:
+        """Renew a registration, or restart the server as a new incarnation."""
         born = self._target(name).registration.born + int(restarts)
         self.steering.targets.registered(registration(name, born=born, slots=4), self.now)
 
     @invariant()
-    def a_leaving_server_is_closed(self) -> None:
-        """No registration and no answer opens it again."""
+    def a_leaving_server_takes_no_work(self) -> None:
+        """No registration and no response makes it available again."""
         for target in self.steering.targets.by_number.values():
             if target.number in self.leaving:
                 assert not self.steering.targets.takes_work(target, self.now)
 
     def _check(self, target: Target) -> None:
         number = target.number
-        assert number not in self.leaving, "sent to a server that leaves"
-        assert self.rest_until.get(number, 0.0) <= self.now, "sent to a server that rests"
+        assert number not in self.leaving, "sent to a server that is leaving"
+        assert (
+            self.backoff_until.get(number, 0.0) <= self.now
+        ), "sent to a server that asked for backoff"
         sent = self.sent.setdefault(number, [])
         sent.append(self.now)
         steps = self.limits.get(number, [])
-        began = self.now - WINDOW
-        if steps and steps[0][0] <= began:
-            most = max(per_s for at, per_s in _within(steps, began))
-            count = sum(at > began for at in sent)
-            assert count <= FACTOR * WINDOW * max(0.25, most) + SLACK, "more than the limit"
+        begin = self.now - WINDOW
+        if steps and steps[0][0] <= begin:
+            highest = max(per_s for at, per_s in _within(steps, begin))
+            count = sum(at > begin for at in sent)
+            assert count <= FACTOR * WINDOW * max(0.25, highest) + SLACK, "more than the limit"
 
     def _model(self, number: int, notice: ServerNotice) -> None:
         if notice.leaving:
             self.leaving.add(number)
         end = self.now + notice.rest
-        self.rest_until[number] = max(self.rest_until.get(number, 0.0), end)
+        self.backoff_until[number] = max(self.backoff_until.get(number, 0.0), end)
         if notice.limit_per_s is not None:
             self.limits.setdefault(number, []).append((self.now, notice.limit_per_s))
 
@@ -131,16 +133,16 @@
         return target
 
 
-def _within(steps: list[tuple[float, float]], began: float) -> list[tuple[float, float]]:
-    """Return the steps of a limit that held at some time after a moment."""
-    first = max(index for index, (at, _) in enumerate(steps) if at <= began)
+def _within(steps: list[tuple[float, float]], begin: float) -> list[tuple[float, float]]:
+    """Return the steps of a limit that applied at any time after a moment."""
+    first = max(index for index, (at, _) in enumerate(steps) if at <= begin)
     return steps[first:]
 
 
 class NoticeMachineTest(unittest.TestCase):
-    """The machine with fixed examples."""
+    """Runs the state machine with fixed examples."""
 
-    def test_any_order_of_words_is_obeyed(self) -> None:
+    def test_notices_are_obeyed_in_any_order(self) -> None:
         from hypothesis.stateful import run_state_machine_as_test
 
         fixed = settings(
--- a/tests/gateway/test_server_leaving.py
+++ b/tests/gateway/test_server_leaving.py
@@ -1,4 +1,4 @@
-"""Tests of servers that say in their answers that they leave."""
+"""Tests of servers that announce in their responses that they are leaving."""
 
 import unittest
 
@@ -9,27 +9,27 @@
 from tests.gateway.noticefleet import NoticeFleet
 from tests.gateway.samples import begun, registration, sent, steering
 
-DRAIN = 2.5
-"""Seconds after the word of a server in which requests may still reach it."""
+DRAIN_S = 2.5
+"""Time after the announcement of a server in which requests may still reach it."""
 
 
 class LeavingServerTest(unittest.TestCase):
-    """A server that has said that it leaves gets nothing new, whatever the store says."""
+    """A server that announced that it is leaving gets no new work, whatever the store says."""
 
-    def test_nothing_new_comes_though_the_store_does_not_tell(self) -> None:
-        """Guards against requests at a server that said it leaves while the store is away."""
+    def test_no_new_requests_arrive_even_if_the_store_does_not_report_it(self) -> None:
+        """Guards against requests to a leaving server while the store is unavailable."""
         for entries, zones in ((10, 6), (27, 3)):
             fleet = NoticeFleet(entries, 8, zones)
             for server in fleet.servers[:2]:
                 server.leaves_at = 5.0
-            fleet.play(0.0, 14.0, 60.0)
+            fleet.simulate(0.0, 14.0, 60.0)
             for server in fleet.servers[:2]:
-                self.assertTrue(server.left_at)
-                self.assertLessEqual(server.latest_after_leaving(), DRAIN, server.name)
+                self.assertTrue(server.leaving_received_at)
+                self.assertLessEqual(server.latest_after_leaving(), DRAIN_S, server.name)
 
 
-class BeliefTest(unittest.TestCase):
-    """What is believed of a server that has said that it leaves."""
+class LeavingStateTest(unittest.TestCase):
+    """How one entry treats a server that announced that it is leaving."""
 
     def setUp(self) -> None:
         self.steering = steering(2)
@@ -37,7 +37,7 @@
         self.target = self.attempt.target
         self.steering.noticed(self.target, ServerNotice(leaving=True), 0.1)
 
-    def test_no_registration_of_its_life_and_no_later_answer_undoes_it(self) -> None:
+    def test_no_registration_of_the_same_incarnation_and_no_later_response_undoes_it(self) -> None:
         self.steering.targets.registered(self.target.registration, 0.2)
         self.steering.noticed(self.target, ServerNotice(leaving=False), 0.3)
         self.assertFalse(self.steering.targets.takes_work(self.target, 1.0))
@@ -49,7 +49,7 @@
         assert found is not None
         self.assertTrue(self.steering.targets.takes_work(found, 1.0))
 
-    def test_what_it_has_runs_to_its_end(self) -> None:
+    def test_requests_in_flight_run_to_completion(self) -> None:
         self.steering.ended(self.attempt, Outcome.ANSWERED, 0.4)
         self.assertEqual(0, self.target.in_flight)
 
@@ -68,18 +68,18 @@
             self.assertNotIn(leaving, work.tried)
             self.assertIsInstance(again, Refused)
 
-    def test_where_all_leave_the_caller_is_refused_at_once(self) -> None:
+    def test_if_all_servers_are_leaving_the_caller_is_refused_immediately(self) -> None:
         for target in self.steering.targets.by_number.values():
             self.steering.noticed(target, ServerNotice(leaving=True), 0.2)
         refused = self.steering.next_attempt(begun(self.steering), 0.3)
         assert isinstance(refused, Refused)
         self.assertIs(Code.NO_TARGET, refused.code)
 
-    def test_others_are_told_for_a_while_and_an_unknown_server_does_no_harm(self) -> None:
-        told = self.steering.notices_to_tell(False, 0.2)
-        self.assertEqual((self.target.number,), told.leaving)
+    def test_leaving_is_reported_for_a_limited_time_and_unknown_servers_are_ignored(self) -> None:
+        reported = self.steering.notices_to_tell(False, 0.2)
+        self.assertEqual((self.target.number,), reported.leaving)
         other = steering(2, me="entry-2")
-        other.take_notices(ReportedNotices(leaving=(1, *told.leaving)), 0.3)
+        other.take_notices(ReportedNotices(leaving=(1, *reported.leaving)), 0.3)
         left = other.targets.get(self.target.registration.target_id)
         assert left is not None
         self.assertFalse(other.targets.takes_work(left, 1.0))
--- a/tests/gateway/test_server_rest.py
+++ b/tests/gateway/test_server_rest.py
@@ -1,4 +1,4 @@
-"""Tests of servers that turn requests away and ask for rest."""
+"""Tests of servers that reject requests and ask entries to back off."""
 
 import unittest
 
@@ -9,30 +9,30 @@
 from tests.gateway.noticefleet import NoticeFleet
 from tests.gateway.samples import begun, sent, steering
 
-MOST_IN_REST = 2
+MAX_DURING_BACKOFF = 2
 
 
-class RestingServerTest(unittest.TestCase):
-    """A server that has asked an entry for rest is left alone by it."""
+class BackoffFleetTest(unittest.TestCase):
+    """An entry sends nothing to a server that asked it to back off."""
 
-    def test_a_rest_is_kept_while_others_take_the_load(self) -> None:
-        """Guards against servers in need that get each warm object's requests all the same."""
+    def test_a_backoff_is_kept_while_other_servers_take_the_load(self) -> None:
+        """Guards against overloaded servers that still get the requests for their warm objects."""
         for entries, zones in ((10, 6), (27, 3)):
             fleet = NoticeFleet(entries, 8, zones)
             for server in fleet.servers[:3]:
-                server.rests = (5.0, 14.0)
-            fleet.play(0.0, 20.0, 70.0)
+                server.backoff_span = (5.0, 14.0)
+            fleet.simulate(0.0, 20.0, 70.0)
             for server in fleet.servers[:3]:
-                self.assertTrue(server.asked_at)
-                self.assertLessEqual(server.most_in_rest(), MOST_IN_REST, server.name)
-                self.assertGreater(server.rate(17.0, 20.0), 0.5, "used again after its rest")
+                self.assertTrue(server.backoff_received_at)
+                self.assertLessEqual(server.max_during_backoff(), MAX_DURING_BACKOFF, server.name)
+                self.assertGreater(server.rate(17.0, 20.0), 0.5, "used again after its backoff")
 
 
-class RestTest(unittest.TestCase):
-    """What one entry does with a rest that it was asked for."""
+class BackoffTest(unittest.TestCase):
+    """How one entry handles a request to back off."""
 
-    def test_the_latest_end_of_several_counts(self) -> None:
-        """Guards against a short rest, asked for later, that ends a longer one."""
+    def test_the_latest_end_of_several_backoffs_applies(self) -> None:
+        """Guards against a later, shorter backoff that ends a longer one."""
         made = steering(1)
         target = sent(made, begun(made)).target
         made.noticed(target, ServerNotice(rest=3.0), 1.0)
@@ -40,8 +40,8 @@
         self.assertTrue(target.rests(3.9))
         self.assertFalse(target.rests(4.0))
 
-    def test_where_all_rest_the_caller_hears_when_the_first_is_free(self) -> None:
-        """Guards against callers that wait, or come back too soon, while no server takes them."""
+    def test_if_all_servers_back_off_retry_after_is_the_earliest_end(self) -> None:
+        """Guards against callers that wait, or retry too early, while no server accepts work."""
         made = steering(2)
         for target, rest in zip(made.targets.by_service["info"], (3.0, 2.0), strict=True):
             made.noticed(target, ServerNotice(rest=rest), 1.0)
@@ -51,8 +51,8 @@
         self.assertAlmostEqual(1.5, refused.retry_after or 0.0)
         self.assertIn("2 resting", refused.detail)
 
-    def test_a_server_is_used_at_once_when_its_rest_ends(self) -> None:
-        """Guards against a rest that also costs the pause of a server that failed."""
+    def test_a_server_is_used_immediately_when_its_backoff_ends(self) -> None:
+        """Guards against a backoff that also incurs the pause of a failed server."""
         made = steering(1)
         attempt = sent(made, begun(made))
         made.noticed(attempt.target, ServerNotice(rest=2.0), 0.1)
