--- a/briarspur/gateway/authorization.py
+++ b/briarspur/gateway/authorization.py
@@ -1,4 +1,4 @@
-"""Whether a request may run: its route, the customer whose key it carries, and its regions."""
+"""Decides whether a request may run, by its route, the customer of its API key, and its regions."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Authorized:
-    """A request that may run.
+    """An authorized request.
 
     Attributes
     ----------
     customer : Customer or None
-        None if it needs no key and carries none that is known.
+        None if the route needs no key and the request has no known key.
     regions : frozenset of str or None
-        Where it may run, empty if anywhere; None if route and customer have no region in common.
+        Regions where it may run, empty for all; None if route and customer have none in common.
     """
 
     route: Route
@@ -31,13 +31,13 @@
 class Authorization:
     """Checks requests against a configuration that may not be the newest one.
 
-    Callers take "no such route" and "unknown key" as final. So an entry that a newer configuration
-    may not have reached, or that could not read all of this one, tells them to come back instead.
+    Callers treat "no such route" and "unknown key" as final. An entry that may have missed a newer
+    configuration, or could not read all of this one, therefore asks them to retry instead.
 
     Attributes
     ----------
     knowledge_age : callable
-        Returns the seconds since this entry's knowledge was known to be complete.
+        Returns the seconds since the entry's state was last known to be complete.
     """
 
     def __init__(self, bounds: Bounds) -> None:
@@ -45,31 +45,31 @@
         self.knowledge_age: Callable[[], float] = lambda: 0.0
 
     def check(self, configuration: Configuration, arrival: Arrival) -> Authorized | Refused:
-        """Return what a request may do, or why it may not run."""
+        """Return how a request may run, or why it is refused."""
         route = configuration.table.find(arrival.host, arrival.path)
         age = self.knowledge_age()
-        fresh = age <= self._bounds.configuration_s
+        is_fresh = age <= self._bounds.configuration_s
         if route is None:
-            if configuration.complete and fresh:
+            if configuration.complete and is_fresh:
                 return Refused(Code.NO_ROUTE)
-            return _come_back("a route may not be known yet")
+            return _retry_later("a route may not be known yet")
         customers = configuration.customers
         customer = customers.find(arrival.key_digest)
         if customer is None and customers.required and not route.public:
-            if customers.complete and fresh:
+            if customers.complete and is_fresh:
                 return Refused(Code.UNKNOWN_CUSTOMER)
-            return _come_back("the key may not be known yet")
+            return _retry_later("the key may not be known yet")
         if customer is not None and age > self._bounds.revoke_s:
-            return _come_back("the key may have been taken away")
+            return _retry_later("the key may have been revoked")
         return Authorized(route, customer, _common_regions(route, customer))
 
 
-def _come_back(why: str) -> Refused:
-    return Refused(Code.NOT_READY, MOST_RETRY_AFTER, why)
+def _retry_later(reason: str) -> Refused:
+    return Refused(Code.NOT_READY, MOST_RETRY_AFTER, reason)
 
 
 def _common_regions(route: Route, customer: Customer | None) -> frozenset[str] | None:
-    """Return where a request may run, empty if anywhere; None if nowhere."""
+    """Return the regions where a request may run, empty for all; None if there is none."""
     if customer is None or not customer.regions:
         return route.regions
     if not route.regions:
--- a/briarspur/gateway/customers.py
+++ b/briarspur/gateway/customers.py
@@ -1,4 +1,4 @@
-"""The customers of a configuration, found by the keys that their requests carry."""
+"""The customers of a configuration, looked up by the API keys of their requests."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -10,23 +10,23 @@
 
 
 def key_digest(key: bytes) -> bytes:
-    """Return what stands for an API key wherever one is kept: the key itself is a secret."""
+    """Return the digest that is stored in place of an API key, since the key itself is secret."""
     return blake2b(key, digest_size=DIGEST_BYTES).digest()
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """Whoever holds an API key.
+    """The holder of an API key.
 
     Attributes
     ----------
     priority : int
-        0 is the most urgent.
+        0 is the most urgent priority.
     per_s, burst : float
-        Requests per second over all entries, and those beyond them that may come at once; no limit
+        Requests per second over all entries, and how many beyond them may arrive at once; no limit
         if ``per_s`` is 0.
     regions : frozenset of str
-        Where its requests may run; empty if anywhere.
+        Regions where its requests may run; empty for all.
     """
 
     name: str
@@ -37,22 +37,22 @@
 
 
 class Customers:
-    """Finds customers by the digests of their keys.
+    """Looks up customers by the digests of their keys.
 
-    A key that several customers claim belongs to none of them: its requests would run under a name
-    that may be another's.
+    A key that several customers claim is assigned to none of them: its requests might run under the
+    name of another customer.
 
     Parameters
     ----------
     digests_by_customer : mapping
         The digests of each customer's keys.
     complete : bool
-        All customers could be read. If not, an unknown key may be one of those left out.
+        All customers could be read. If not, an unknown key may belong to a skipped one.
 
     Attributes
     ----------
-    shared : frozenset of str
-        Names of customers that claim a key of another one.
+    names_with_shared_keys : frozenset of str
+        Names of customers that claim a key of another customer.
     """
 
     def __init__(
@@ -61,21 +61,21 @@
         complete: bool = True,
     ) -> None:
         self._by_digest: dict[bytes, Customer] = {}
-        claimed: set[bytes] = set()
-        shared: set[str] = set()
+        ambiguous: set[bytes] = set()
+        names_with_shared_keys: set[str] = set()
         for customer, digests in (digests_by_customer or {}).items():
             for digest in digests:
                 other = self._by_digest.setdefault(digest, customer)
                 if other is not customer:
-                    claimed.add(digest)
-                    shared.update((other.name, customer.name))
-        for digest in claimed:
+                    ambiguous.add(digest)
+                    names_with_shared_keys.update((other.name, customer.name))
+        for digest in ambiguous:
             del self._by_digest[digest]
-        self.shared = frozenset(shared)
-        self.complete = complete and not claimed
+        self.names_with_shared_keys = frozenset(names_with_shared_keys)
+        self.complete = complete and not ambiguous
         self.required = bool(digests_by_customer) or not complete
         self.by_name = {customer.name: customer for customer in digests_by_customer or ()}
 
     def find(self, digest: bytes | None) -> Customer | None:
-        """Return the holder of a key, None if nobody is known to hold it."""
+        """Return the holder of a key; None if the key is unknown."""
         return None if digest is None else self._by_digest.get(digest)
--- a/briarspur/platform/configdocument.py
+++ b/briarspur/platform/configdocument.py
@@ -168,7 +168,7 @@
         if not has_customers:
             return Customers()
         found = Customers(self.digests_by_customer, complete=not self.left_out(MAY_BE_CUSTOMERS))
-        for name in sorted(found.shared):
+        for name in sorted(found.names_with_shared_keys):
             self._fault(CUSTOMERS, name, "another customer has the same key", skipped=False)
         return found
 
--- a/tests/gateway/test_customers.py
+++ b/tests/gateway/test_customers.py
@@ -1,4 +1,4 @@
-"""Tests of whose request is whose, and where it may run."""
+"""Tests of how requests are assigned to customers, and in which regions they may run."""
 
 import math
 import unittest
@@ -34,19 +34,19 @@
 
 
 class IdentityTest(unittest.TestCase):
-    """A request runs under the name of the customer who holds its key, or not at all."""
+    """A request runs under the name of the customer who holds its key, or is refused."""
 
     def refused(self, step: Work | Refused) -> Code:
         assert isinstance(step, Refused), step
         return step.code
 
-    def test_a_key_names_its_customer(self) -> None:
+    def test_a_key_identifies_its_customer(self) -> None:
         work = begin(steering(customers()), b"k-alpha")
         assert isinstance(work, Work)
         self.assertEqual(ALPHA, work.customer)
 
-    def test_an_unknown_key_or_none_is_refused(self) -> None:
-        """Guards against requests that run for nobody."""
+    def test_an_unknown_or_missing_key_is_refused(self) -> None:
+        """Guards against requests that run without a customer."""
         made = steering(customers())
         self.assertEqual(Code.UNKNOWN_CUSTOMER, self.refused(begin(made, b"k-other")))
         self.assertEqual(Code.UNKNOWN_CUSTOMER, self.refused(begin(made, None)))
@@ -60,36 +60,36 @@
     def test_a_deployment_without_customers_needs_no_key(self) -> None:
         self.assertIsInstance(begin(steering(Customers()), None), Work)
 
-    def test_an_entry_behind_says_not_ready(self) -> None:
-        """Guards against a final 401 for a key that a newer configuration holds."""
+    def test_an_outdated_entry_answers_not_ready_to_an_unknown_key(self) -> None:
+        """Guards against a final 401 for a key that exists in a newer configuration."""
         made = steering(customers())
         made.authorization.knowledge_age = lambda: 10.0
         self.assertEqual(Code.NOT_READY, self.refused(begin(made, b"k-new")))
         self.assertIsInstance(begin(made, b"k-alpha"), Work)
 
-    def test_an_entry_behind_does_not_deny_a_route(self) -> None:
-        """Guards against a final 404 for a route that a newer configuration has."""
+    def test_an_outdated_entry_answers_not_ready_to_an_unknown_route(self) -> None:
+        """Guards against a final 404 for a route that exists in a newer configuration."""
         made = steering(customers())
         made.authorization.knowledge_age = lambda: 10.0
         step = made.begin(arrival(path="/new/x"), 0.0)
         self.assertEqual(Code.NOT_READY, self.refused(step))
 
-    def test_a_customer_that_could_not_be_read_may_hold_the_key(self) -> None:
-        """Guards against a final 401 for the keys of a damaged customer."""
+    def test_an_unknown_key_may_belong_to_an_unreadable_customer(self) -> None:
+        """Guards against a final 401 for the keys of a customer with a malformed record."""
         made = steering(customers(complete=False))
         self.assertEqual(Code.NOT_READY, self.refused(begin(made, b"k-other")))
 
-    def test_a_key_of_two_customers_is_nobodys(self) -> None:
+    def test_a_key_of_two_customers_identifies_neither(self) -> None:
         """Guards against requests that run under another customer's name."""
         digest = key_digest(b"k-shared")
-        shared = Customers({ALPHA: [digest], HOMED: [digest, key_digest(b"k-homed")]})
-        made = steering(shared)
+        duplicated = Customers({ALPHA: [digest], HOMED: [digest, key_digest(b"k-homed")]})
+        made = steering(duplicated)
         self.assertEqual(Code.NOT_READY, self.refused(begin(made, b"k-shared")))
         self.assertIsInstance(begin(made, b"k-homed"), Work)
-        self.assertEqual({"alpha", "homed"}, shared.shared)
+        self.assertEqual({"alpha", "homed"}, duplicated.names_with_shared_keys)
 
-    def test_strict_revocation_ends_what_can_not_be_known(self) -> None:
-        """Guards against keys that stay valid at an entry which hears of no revocation."""
+    def test_strict_revocation_refuses_keys_that_cannot_be_verified(self) -> None:
+        """Guards against keys that stay valid at an entry which cannot learn of a revocation."""
         made = steering(customers(), Bounds(revoke_s=5.0))
         made.authorization.knowledge_age = lambda: 5.1
         self.assertEqual(Code.NOT_READY, self.refused(begin(made, b"k-alpha")))
@@ -97,7 +97,7 @@
         made.authorization.knowledge_age = lambda: 60.0
         self.assertIsInstance(begin(made, b"k-alpha"), Work)
 
-    def test_keys_show_nowhere(self) -> None:
+    def test_keys_are_not_shown(self) -> None:
         """Guards against secrets in logs and errors."""
         made = steering(customers())
         shown = repr((arrival(), made.configuration, begin(made, b"k-alpha")))
@@ -105,11 +105,11 @@
         self.assertNotIn(repr(key_digest(b"k-alpha")), shown)
 
 
-class HomesTest(unittest.TestCase):
-    """Regions that route and customer name bind every attempt."""
+class RegionsTest(unittest.TestCase):
+    """Every attempt stays within the regions of its route and customer."""
 
     def regions(self, made: Steering, key: bytes) -> set[str]:
-        """Return where the attempts of many requests go, second ones included."""
+        """Return the regions of the attempts of many requests, second attempts included."""
         found = set()
         for number in range(60):
             digest = key_digest(key)
@@ -123,15 +123,15 @@
                     attempt.target.in_flight = 0
         return found
 
-    def test_a_customers_homes_bind(self) -> None:
+    def test_requests_stay_in_the_regions_of_their_customer(self) -> None:
         self.assertEqual({"b"}, self.regions(steering(customers()), b"k-homed"))
         self.assertEqual({"a", "b"}, self.regions(steering(customers()), b"k-alpha"))
 
-    def test_homes_of_route_and_customer_bind_both(self) -> None:
+    def test_requests_stay_in_the_common_regions_of_route_and_customer(self) -> None:
         made = steering(customers(), regions=frozenset({"a", "b"}))
         self.assertEqual({"b"}, self.regions(made, b"k-homed"))
 
-    def test_no_common_home_is_a_refusal(self) -> None:
+    def test_a_request_without_a_common_region_is_refused(self) -> None:
         """Guards against requests that leave the regions of their customer or route."""
         made = steering(customers(), regions=frozenset({"a"}))
         work = begin(made, b"k-homed")
