--- a/briarspur/gateway/availability.py
+++ b/briarspur/gateway/availability.py
@@ -1,4 +1,4 @@
-"""Whether the store answers anybody, as far as this entry knows."""
+"""Tracks whether the store answers any entry, as far as this entry knows."""
 
 import logging
 
@@ -6,29 +6,31 @@
 
 __all__ = ["StoreAvailability"]
 
-OUTAGE = 2.6
-"""Seconds without an answer to anybody from which the store counts as away. Two readers that are
-cut off are replaced after 1.2 s, and the first call of the others takes up to 0.7 s: that gap is no
-outage. When it counted as one, each entry held a server that had left for 2.2 s, and callers'
-requests reached it 2.55 s after the store had acknowledged that. Registrations lapse once three
-renewals, 1.5 s apart, have failed, which takes an outage of 3 s."""
+MIN_OUTAGE_S = 2.6
+"""Time without a response to any entry after which the store is considered unavailable. Two readers
+that are cut off are replaced after 1.2 s, and the first call of the others takes up to 0.7 s; that
+gap is no outage. If it were treated as one, each entry would hold the removal of a departed server
+for 2.2 s, and requests would reach the server up to 2.55 s after the store acknowledged its
+departure. Registrations lapse once three renewals, 1.5 s apart, have failed, which takes an outage
+of 3 s."""
 
-
-STOOD_STILL = 1.0
-"""Seconds between two looks of this process, 0.25 s apart as a rule, from which it was stopped."""
+MIN_STALL_S = 1.0
+"""Time between two checks from which this process is assumed to have been stopped; checks normally
+run every 0.25 s."""
 
 
 class StoreAvailability:
-    """Keeps the latest moment at which the store is known to have answered any entry.
+    """Tracks the latest time at which the store is known to have answered any entry.
 
-    The belief belongs to nobody's own calls. An entry that lost the store in a cut, and then left
-    reading to others, never called it again; it took the store as away for as long as it ran, held
-    every vanished registration back, and sent to servers 2.7 s after they had left. Now what others
-    say of their reads ends the belief as well as an answer of its own.
+    The state does not depend on this entry's own calls alone. An entry that lost the store in a
+    network partition, and then left reading to others, does not call it again; it would consider
+    the store unavailable for as long as it runs, hold every removal, and send requests to servers
+    2.7 s after they had left. Therefore the reads that other entries report end an outage as well
+    as a response to this entry.
 
-    Time in which this process itself stood still says nothing of the store: an entry that had been
-    stopped for 3 s took that for an outage, held each server that had left meanwhile for 2.2 s, and
-    let go of it 5.2 s after the other entries had.
+    Time in which this process itself was stopped says nothing about the store: an entry that was
+    stopped for 3 s would treat this as an outage, hold the removal of each server that left
+    meanwhile for 2.2 s, and so remove it 5.2 s later than the other entries.
 
     Attributes
     ----------
@@ -39,35 +41,35 @@
     def __init__(self) -> None:
         self.returned_at = float("-inf")
         self._answered_at = float("-inf")
-        self._looked_at = float("inf")
-        self._told_away = False
+        self._checked_at = float("inf")
+        self._outage_logged = False
 
     def answered(self, at: float, now: float) -> None:
-        """Note that the store answered this entry or another one at a moment."""
-        self._look(now)
+        """Record that the store answered this entry or another one at a given time."""
+        self._check_stall(now)
         if at <= self._answered_at:
             return
         gap = at - self._answered_at
-        if OUTAGE < gap < float("inf"):
+        if MIN_OUTAGE_S < gap < float("inf"):
             self.returned_at = at
             logs.event("store-back", away_s=f"{gap:.3f}")
         self._answered_at = at
-        self._told_away = False
+        self._outage_logged = False
 
     def is_away(self, now: float) -> bool:
-        """Return whether nobody is known to have had an answer lately."""
-        return OUTAGE < now - self._answered_at < float("inf")
+        """Return whether no entry is known to have received a response recently."""
+        return MIN_OUTAGE_S < now - self._answered_at < float("inf")
 
     def tick(self, now: float) -> None:
-        """Log the start of an outage."""
-        self._look(now)
-        if self.is_away(now) and not self._told_away:
-            self._told_away = True
+        """Check the state, and log the start of an outage."""
+        self._check_stall(now)
+        if self.is_away(now) and not self._outage_logged:
+            self._outage_logged = True
             logs.event("store-away", logging.WARNING, unanswered_s=f"{now - self._answered_at:.3f}")
 
-    def _look(self, now: float) -> None:
-        stopped = now - self._looked_at
-        if stopped > STOOD_STILL:
+    def _check_stall(self, now: float) -> None:
+        stopped = now - self._checked_at
+        if stopped > MIN_STALL_S:
             self._answered_at += stopped
             logs.event("stood-still", logging.WARNING, seconds=f"{stopped:.3f}")
-        self._looked_at = now
+        self._checked_at = now
--- a/briarspur/gateway/departures.py
+++ b/briarspur/gateway/departures.py
@@ -1,26 +1,26 @@
-"""When a target whose registration vanished is taken as gone."""
+"""Decides when a target whose registration vanished is removed."""
 
 from dataclasses import dataclass
 
 from briarspur.gateway.availability import StoreAvailability
 
-__all__ = ["Departures", "Held"]
+__all__ = ["Departures", "HeldRemoval"]
 
-RETURN_TIME = 2.2
-"""Seconds after the store's return within which registrations that lapsed while it was away come
-back, by the platform's word about 2 s; what is still missing then is gone."""
+REREGISTRATION_S = 2.2
+"""Time after an outage of the store within which registrations that lapsed during it are renewed;
+the platform specifies about 2 s. Targets that are still missing then are gone."""
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """A target whose registration vanished; times in seconds on this entry's clock.
+class HeldRemoval:
+    """The delayed removal of a target whose registration vanished; times in seconds, local clock.
 
     Attributes
     ----------
     due : float
-        When it is taken as gone.
+        When the target is considered gone.
     since : float
-        When it vanished, at the earliest.
+        Earliest time at which the registration may have vanished.
     """
 
     target_id: str
@@ -29,38 +29,39 @@
 
 
 class Departures:
-    """Holds removals back that may only mean that the store was away.
+    """Delays removals that may only be due to an outage of the store.
 
-    Registrations lapse while nobody can renew them. Just after an outage the store may then name
-    hardly any server though all run; without a hold every request would be refused until they are
-    back. A server that really left meanwhile refuses connections, so little is lost by the wait.
+    Registrations lapse while they cannot be renewed. Just after an outage the store may therefore
+    list hardly any servers although all are running; without a delay every request would be refused
+    until they are registered again. A server that really left in the meantime refuses connections,
+    so the delay costs little.
     """
 
     def __init__(self, availability: StoreAvailability) -> None:
         self._availability = availability
-        self._held_by_id: dict[str, Held] = {}
+        self._held_by_id: dict[str, HeldRemoval] = {}
 
     def vanished(self, target_id: str, since: float, now: float) -> bool:
-        """Return whether a target may be removed at once; otherwise it is held.
+        """Return whether a target may be removed immediately; otherwise hold its removal.
 
         Parameters
         ----------
         since : float
-            When it vanished, at the earliest.
+            Earliest time at which the registration may have vanished.
         """
-        away = self._availability.is_away(now)
-        due = (now if away else self._availability.returned_at) + RETURN_TIME
+        is_away = self._availability.is_away(now)
+        due = (now if is_away else self._availability.returned_at) + REREGISTRATION_S
         if now >= due:
             return True
-        self._held_by_id[target_id] = Held(target_id, due, since)
+        self._held_by_id[target_id] = HeldRemoval(target_id, due, since)
         return False
 
     def returned(self, target_id: str) -> None:
-        """Note that a target is registered again."""
+        """Cancel the removal of a target that is registered again."""
         self._held_by_id.pop(target_id, None)
 
-    def due(self, now: float) -> list[Held]:
-        """Return the held targets that are gone by now."""
+    def due(self, now: float) -> list[HeldRemoval]:
+        """Return and clear the held removals that are due."""
         gone = [held for held in self._held_by_id.values() if now >= held.due]
         for held in gone:
             del self._held_by_id[held.target_id]
--- a/tests/gateway/test_applier.py
+++ b/tests/gateway/test_applier.py
@@ -7,7 +7,7 @@
 from briarspur.codes import Code
 from briarspur.gateway.applier import ChangeApplier
 from briarspur.gateway.availability import StoreAvailability
-from briarspur.gateway.departures import RETURN_TIME
+from briarspur.gateway.departures import REREGISTRATION_S
 from briarspur.gateway.entryrecord import EntryRecord
 from briarspur.gateway.fleet import Fleet
 from briarspur.gateway.loadview import MemberSeen
@@ -161,5 +161,5 @@
         self.assertEqual(
             [], self.departures(lambda: self.applier.changed(Kind.TARGETS, gone, Way.WATCH))
         )
-        self.now += RETURN_TIME
+        self.now += REREGISTRATION_S
         self.assertEqual([("ends", "hold", "2.900")], self.departures(self.applier.tick))
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -54,7 +54,12 @@
     Mechanism("breaker", "breaker.py", "FIRST_PAUSE = 0.4", "FIRST_PAUSE = 0.0"),
     Mechanism("load news", "loadview.py", "STALE = 1.5", "STALE = -1.0"),
     Mechanism("kept connections", "pool.py", "KEPT_IDLE = 8.0", "KEPT_IDLE = 0.0"),
-    Mechanism("held departures", "departures.py", "RETURN_TIME = 2.2", "RETURN_TIME = -9e9"),
+    Mechanism(
+        "held departures",
+        "departures.py",
+        "REREGISTRATION_S = 2.2",
+        "REREGISTRATION_S = -9e9",
+    ),
     Mechanism(
         "warm record in the store",
         "warmthkeeper.py",
