--- a/briarspur/gateway/configuration.py
+++ b/briarspur/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: routes, services and limits, as immutable values."""
+"""The active configuration: routes, services and limits, as immutable values."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -14,12 +14,12 @@
     "RouteTable",
     "Service",
     "SplitPart",
-    "WeightedTurns",
+    "WeightedRoundRobin",
 ]
 
 
 class RouteKind(Enum):
-    """What may be repeated."""
+    """Kind of the requests of a route, which decides whether they may run more than once."""
 
     IDEMPOTENT = "idempotent"
     ONCE_ONLY = "once_only"
@@ -28,13 +28,13 @@
 
 
 REPEATABLE = frozenset({RouteKind.IDEMPOTENT, RouteKind.DOWNLOAD})
-"""Kinds whose requests may run more than once. Uploads are not among them: a delivery note that ran
-and whose answer was lost would be recorded twice."""
+"""Kinds whose requests may run more than once. Uploads are not among them: a delivery note whose
+response was lost would be recorded twice."""
 
 
 @dataclass(frozen=True, slots=True)
 class SplitPart:
-    """One service of a route and its weight; a route without a split has one part."""
+    """A service of a route and its weight; a route without a split has one part."""
 
     service: str
     weight: float
@@ -42,24 +42,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one host below one path prefix.
+    """A route for the requests of one host below one path prefix.
 
     Attributes
     ----------
     timeout : float
-        Longest time a caller is kept waiting, in seconds.
+        Maximum time that a caller waits for its response, in seconds.
     goal : float
-        Time within which an answer is useful to its caller, in seconds.
+        Time within which a response is useful to its caller, in seconds.
     attempts : int
-        Backend servers to which one request may be sent at most.
+        Maximum number of backend servers to which one request may be sent.
     priority : int
-        0 is the most urgent.
+        0 is the most urgent priority.
     sticky : bool
-        Backend servers answer faster for an object that they handled lately.
+        Backend servers respond faster for objects that they handled recently.
     regions : frozenset of str
-        Where requests may run; empty if anywhere.
+        Regions where requests may run; empty for all.
     public : bool
-        Its requests need no API key.
+        Requests need no API key.
     """
 
     name: str
@@ -83,16 +83,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """One service.
+    """The settings of one service.
 
     Attributes
     ----------
     max_connections : int
-        Connections that one backend server takes from all callers together.
+        Maximum connections to one backend server from all its clients together.
     cold_s : float
-        How long a backend server is cold after its start, in seconds.
+        Time for which a backend server is cold after its start, in seconds.
     cold_per_s : float
-        Requests per second that a cold backend server bears.
+        Maximum requests per second to a cold backend server.
     """
 
     name: str
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on what a caller may send, and for how long it may send or be idle, in seconds."""
+    """Limits on the size of a request, and on the seconds for sending it and for being idle."""
 
     header_bytes: int = 16_384
     body_bytes: int = 1_048_576
@@ -113,13 +113,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of the whole configuration.
+    """One version of the complete configuration.
 
     Attributes
     ----------
     complete : bool
-        Every route of the document could be read. If not, a request that matches no route may be
-        one that a skipped route allows, so "no such route" would not be true.
+        Every route of the document could be parsed. If not, a request that matches no route may
+        match a skipped one, so "no such route" might be wrong.
     """
 
     version: int
@@ -135,11 +135,11 @@
 
 
 class RouteTable:
-    """Finds the route of a request: that of its host with the longest matching prefix.
+    """Finds the route of a request: the one of its host with the longest matching prefix.
 
-    Every prefix ends with a slash, so the candidates of a path are its leading parts up to each
-    slash. Looking these up from the longest on costs one dictionary access for each slash in the
-    path, however many routes there are.
+    Every prefix ends with a slash, so the candidates are the parts of the path up to each slash.
+    Looking these up, longest first, costs one dictionary access per slash in the path, independent
+    of the number of routes.
     """
 
     def __init__(self, routes: tuple[Route, ...]) -> None:
@@ -149,7 +149,7 @@
         self._by_host = dict(by_host)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request; ``host`` may carry a port, ``path`` a query."""
+        """Return the route of a request; ``host`` may include a port, ``path`` a query."""
         by_prefix = self._by_host.get(host.partition(":")[0].lower())
         if by_prefix is None:
             return None
@@ -162,11 +162,12 @@
         return None
 
 
-class WeightedTurns:
-    """Deals the requests of a route to the parts of its split, exactly in their proportions.
+class WeightedRoundRobin:
+    """Distributes the requests of a route over its split by smooth weighted round-robin.
 
-    Each request goes to the part that is furthest behind its share. Over any span each part is
-    within one request of its weight, where a random draw of 200 requests is off by up to 7 %.
+    Each request goes to the part that is furthest behind its share. Over any number of requests,
+    each part is within one request of its share; with random selection, 200 requests would deviate
+    by up to 7 %.
     """
 
     def __init__(self, parts: tuple[SplitPart, ...]) -> None:
@@ -175,7 +176,7 @@
         self._credits = [0.0] * len(parts)
 
     def next(self) -> str:
-        """Return the service that takes the next request."""
+        """Return the service for the next request."""
         if len(self._parts) == 1:
             return self._parts[0].service
         best = 0
--- a/briarspur/gateway/ratehistory.py
+++ b/briarspur/gateway/ratehistory.py
@@ -1,4 +1,4 @@
-"""A rate that changes, and what it allowed over the last seconds."""
+"""The history of a changing rate, and its mean over a window."""
 
 from collections import deque
 
@@ -6,12 +6,12 @@
 
 
 class RateHistory:
-    """The values that a rate has had within a window.
+    """Records the values of a rate within a window.
 
     Parameters
     ----------
     window : float
-        Seconds that are looked back.
+        Length of the window in seconds.
     """
 
     __slots__ = ("_steps", "_window")
@@ -21,16 +21,16 @@
         self._steps: deque[tuple[float, float]] = deque()
 
     def begin(self, per_s: float, at: float) -> None:
-        """Start at a rate; nothing was allowed before."""
+        """Start with a rate; before that it was zero."""
         self._steps.clear()
         self._steps.append((at, per_s))
 
     def change(self, per_s: float, at: float) -> None:
-        """Take another rate from now on."""
+        """Change the rate from a given time on."""
         self._steps.append((at, per_s))
 
     def mean(self, now: float) -> float:
-        """Return what was allowed over the window, per second of it."""
+        """Return the mean rate over the window."""
         oldest = now - self._window
         steps = self._steps
         while len(steps) > 1 and steps[1][0] <= oldest:
--- a/briarspur/gateway/registration.py
+++ b/briarspur/gateway/registration.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself in the platform's store."""
+"""The record that a backend server registers in the platform's store."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Registration:
-    """One backend server as it registered itself.
+    """The registration of a backend server.
 
     Attributes
     ----------
     born : int
-        Unix time of its start in milliseconds; with ``target_id`` it names one incarnation.
+        Unix time of its start in milliseconds; identifies an incarnation together with
+        ``target_id``.
     cold_s : float
-        Seconds that it stays cold from when it wrote this.
+        Seconds for which it stays cold, from the time it wrote the record.
     """
 
     target_id: str
@@ -29,5 +30,5 @@
 
     @property
     def incarnation(self) -> tuple[str, int]:
-        """Identify one run of the process."""
+        """Identifier of one run of the server process."""
         return self.target_id, self.born
--- a/briarspur/gateway/steering.py
+++ b/briarspur/gateway/steering.py
@@ -12,7 +12,7 @@
 from briarspur.gateway.authorization import Authorization
 from briarspur.gateway.chooser import Choice, Chooser, Wish
 from briarspur.gateway.coldstart import cold_bucket
-from briarspur.gateway.configuration import Configuration, Route, WeightedTurns
+from briarspur.gateway.configuration import Configuration, Route, WeightedRoundRobin
 from briarspur.gateway.loadview import LoadView
 from briarspur.gateway.outcome import NOT_RUN, UNSENT, Outcome
 from briarspur.gateway.quotas import Quotas
@@ -81,7 +81,7 @@
         self.fleet_size = 1
         self._chooser = Chooser(self.times, self.transit)
         self._bounds = bounds
-        self._turns_by_route: dict[str, tuple[Route, WeightedTurns]] = {}
+        self._turns_by_route: dict[str, tuple[Route, WeightedRoundRobin]] = {}
         self._budget_by_service: dict[str, RetryBudget] = {}
 
     # What is in force
@@ -380,11 +380,11 @@
         mean = self.times.service_mean(work.service, work.route.goal)
         return min(MOST_RETRY_AFTER, max(LEAST_RETRY_AFTER, mean))
 
-    def _turns(self, route: Route) -> WeightedTurns:
+    def _turns(self, route: Route) -> WeightedRoundRobin:
         known = self._turns_by_route.get(route.name)
         if known is not None and known[0].parts == route.parts:
             return known[1]
-        turns = WeightedTurns(route.parts)
+        turns = WeightedRoundRobin(route.parts)
         self._turns_by_route[route.name] = (route, turns)
         return turns
 
--- a/tests/gateway/test_ratehistory.py
+++ b/tests/gateway/test_ratehistory.py
@@ -1,4 +1,4 @@
-"""Tests of a rate that changes."""
+"""Tests of the history of a changing rate."""
 
 import unittest
 
@@ -6,16 +6,16 @@
 
 
 class RateHistoryTest(unittest.TestCase):
-    """What a rate allowed over a window."""
+    """The mean of a rate over a window."""
 
-    def test_it_grows_until_the_window_is_full(self) -> None:
+    def test_the_mean_grows_until_the_window_is_full(self) -> None:
         history = RateHistory(4.0)
         history.begin(2.0, 10.0)
         self.assertEqual(0.0, history.mean(10.0))
         self.assertAlmostEqual(1.0, history.mean(12.0))
         self.assertAlmostEqual(2.0, history.mean(20.0))
 
-    def test_each_value_counts_for_its_part_of_the_window(self) -> None:
+    def test_each_value_is_weighted_by_its_part_of_the_window(self) -> None:
         history = RateHistory(4.0)
         history.begin(6.0, 0.0)
         history.change(1.0, 8.0)
