--- a/briarspur/gateway/app.py
+++ b/briarspur/gateway/app.py
@@ -256,7 +256,7 @@
     def _make_sync(self, kind: Kind) -> Sync:
         return Sync(
             self._source,
-            Replica(kind, lambda value: self._codec.essence(kind, value)),
+            Replica(kind, lambda value: self._codec.relevant_part(kind, value)),
             self._read_times.paces[kind],
             self._rng,
             self.following.gate,
@@ -340,7 +340,7 @@
         return Page(200 if self.is_ready() else 503)
 
     def _lookup_page(self, query: bytes) -> Page:
-        region, zone = self._codec.lookup_place(query)
+        region, zone = self._codec.lookup_location(query)
         entries = self.fleet.for_caller(region or self.me.region, zone, self._reactor.seconds())
         ttl = min(LOOKUP_TTL, self.settings.bounds.lookup_ttl_s)
         return Page(200, self._codec.lookup_body(entries, ttl))
--- a/briarspur/gateway/codec.py
+++ b/briarspur/gateway/codec.py
@@ -1,4 +1,4 @@
-"""How stored objects and look-ups are read and written; the platform package implements it."""
+"""Interface for the formats of stored objects and look-ups, implemented by the platform package."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PartFault:
-    """A part of a configuration that could not be read as it stands.
+    """A part of a configuration that is malformed.
 
     Attributes
     ----------
     skipped : bool
-        The part is not in force; otherwise it is, in the most careful reading.
+        The part is not applied; otherwise it is applied in its most restrictive interpretation.
     """
 
     part: str
@@ -32,36 +32,36 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadConfiguration:
-    """What could be read of a configuration's document, and what could not."""
+    """The configuration parsed from a document, and the parts that are malformed."""
 
     configuration: Configuration
     faults: tuple[PartFault, ...] = ()
 
 
 class Codec(Protocol):
-    """Formats of the deployment."""
+    """Encodes and decodes the formats of a deployment."""
 
     configuration_name: str
     lookup_path: bytes
     ready_path: bytes
 
-    def essence(self, kind: Kind, value: Any) -> Any:
-        """Return the part of a stored value whose change matters to entries."""
+    def relevant_part(self, kind: Kind, value: Any) -> Any:
+        """Return the part of a stored value whose changes are relevant to entries."""
 
     def configuration(self, value: Any) -> Result[ReadConfiguration, str]:
-        """Return what a stored configuration says, or why none of it can be used."""
+        """Return a stored configuration, or the reason why none of it can be used."""
 
     def registration(self, name: str, value: Any) -> Result[Registration, str]:
-        """Return a backend server's registration, or what is wrong with it."""
+        """Return the registration of a backend server, or an error message."""
 
     def entry(self, name: str, value: Any) -> Result[EntryRecord, str]:
-        """Return an entry's record, or what is wrong with it."""
+        """Return the record of an entry, or an error message."""
 
     def entry_value(self, record: EntryRecord) -> dict[str, Any]:
-        """Return an entry's record as it is stored."""
+        """Return the stored form of an entry's record."""
 
-    def lookup_place(self, query: bytes) -> tuple[str, str]:
-        """Return region and availability zone that a look-up comes from."""
+    def lookup_location(self, query: bytes) -> tuple[str, str]:
+        """Return the region and availability zone from which a look-up was sent."""
 
     def lookup_body(self, entries: Iterable[EntryRecord], lifetime: float) -> bytes:
-        """Return the answer to a look-up."""
+        """Return the response body of a look-up."""
--- a/briarspur/gateway/dialect.py
+++ b/briarspur/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""What the HTTP messages of a deployment mean; its platform package implements it."""
+"""Interface for the HTTP messages of a deployment, implemented by its platform package."""
 
 from typing import Protocol
 
@@ -17,7 +17,7 @@
     """Translates between HTTP messages and the gateway's types."""
 
     def arrival(self, uri: bytes, headers: Headers, size: int) -> Arrival:
-        """Return what a caller's request asks for."""
+        """Parse the head of a caller's request."""
 
     def request_bytes(
         self,
@@ -26,32 +26,32 @@
         headers: Headers,
         body: bytes,
         target_id: str,
-        left_ms: int,
+        remaining_ms: int,
         customer_name: str | None = None,
     ) -> bytes:
-        """Return a request as it goes to a backend server.
+        """Return a request as it is sent to a backend server.
 
         Parameters
         ----------
         target_id : str
             The only server that may run it.
-        left_ms : int
-            Milliseconds that the server may take.
+        remaining_ms : int
+            Milliseconds that the server has left for the request.
         customer_name : str, optional
-            Whose request it is; nothing that the caller says of that goes on.
+            Customer of the request; a customer stated by the caller itself is not forwarded.
         """
 
-    def belongs(self, headers: Headers, request_id: bytes) -> bool:
-        """Tell whether an answer is the one to a request."""
+    def matches_request(self, headers: Headers, request_id: bytes) -> bool:
+        """Return whether a response is the one to a request."""
 
     def outcome(self, head: AnswerHead) -> Outcome:
-        """Return what the head of a backend server's answer says."""
+        """Return the outcome stated by the head of a backend server's response."""
 
     def notice(self, head: AnswerHead) -> ServerNotice | None:
-        """Return what an answer says of its server; None if it may be another server's."""
+        """Return the notices of the server in a response; None if it may be another server's."""
 
     def answer_headers(self, headers: Headers) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an answer that its caller gets."""
+        """Return the headers of a response that are sent to the caller."""
 
     def status(self, code: Code) -> int:
-        """Return the HTTP status of a final answer of our own."""
+        """Return the HTTP status of a final response made by the gateway itself."""
--- a/briarspur/gateway/sending.py
+++ b/briarspur/gateway/sending.py
@@ -182,7 +182,9 @@
             None if work.customer is None else work.customer.name,
         )
         request_id = work.request_id.encode("latin-1")
-        expected = Expected(request.method, lambda headers: dialect.belongs(headers, request_id))
+        expected = Expected(
+            request.method, lambda headers: dialect.matches_request(headers, request_id)
+        )
         connection.send(data, expected, self)
 
     # Answer
--- a/briarspur/platform/dialect.py
+++ b/briarspur/platform/dialect.py
@@ -54,7 +54,7 @@
         headers: Headers,
         body: bytes,
         target_id: str,
-        left_ms: int,
+        remaining_ms: int,
         customer_name: str | None = None,
     ) -> bytes:
         """Return a request as it goes to a backend server."""
@@ -63,7 +63,7 @@
         for name, values in headers.getAllRawHeaders():
             if name.lower() not in dropped:
                 lines.extend(b"%b: %b" % (name, value) for value in values)
-        lines.append(b"%b: %d" % (names.DEADLINE_MS, left_ms))
+        lines.append(b"%b: %d" % (names.DEADLINE_MS, remaining_ms))
         lines.append(b"%b: %b" % (names.EXPECTED_INSTANCE, target_id.encode("latin-1")))
         if customer_name is not None:
             lines.append(b"%b: %b" % (names.CUSTOMER, customer_name.encode()))
@@ -71,7 +71,7 @@
             lines.append(b"Content-Length: %d" % len(body))
         return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
-    def belongs(self, headers: Headers, request_id: bytes) -> bool:
+    def matches_request(self, headers: Headers, request_id: bytes) -> bool:
         """Tell whether an answer is the one to a request; rejections may carry no id."""
         echoed = last_value(headers, names.REQUEST_ID)
         return echoed is None or echoed == request_id
--- a/briarspur/platform/gateway.py
+++ b/briarspur/platform/gateway.py
@@ -32,7 +32,7 @@
     lookup_path = lookup.LOOKUP_PATH
     ready_path = lookup.READY_PATH
 
-    def essence(self, kind: Kind, value: Any) -> Any:
+    def relevant_part(self, kind: Kind, value: Any) -> Any:
         """Return the part of a stored value whose change matters to entries."""
         return documents.essence(kind, value)
 
@@ -52,7 +52,7 @@
         """Return an entry's record as it is stored."""
         return documents.encode_entry(record)
 
-    def lookup_place(self, query: bytes) -> tuple[str, str]:
+    def lookup_location(self, query: bytes) -> tuple[str, str]:
         """Return region and availability zone that a look-up comes from."""
         return lookup.place_of(query)
 
