--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of what all entries together may do: cold servers, retries, failing servers."""
+"""Tests of limits on all entries together: cold servers, retries, failing servers."""
 
 import unittest
 from collections import defaultdict
@@ -14,14 +14,15 @@
 
 
 class ColdRateTest(unittest.TestCase):
-    """A cold server gets no more than it bears, from all entries together."""
+    """A cold server gets no more requests than it can handle, from all entries together."""
 
     @FIXED
     @given(st.integers(1, 120), st.sampled_from([2.0, 11.0, 40.0]))
     def test_any_second_stays_within_the_rate_and_its_slack(self, fleet: int, rate: float) -> None:
-        """Ninety entries each let a first request through to a server that has just started.
+        """Guards against a server that is overloaded and crashes each time it starts.
 
-        It crashed at once, came back cold, and crashed again.
+        Ninety entries each sent a first request to a server that had just started. It crashed
+        immediately, restarted cold, and crashed again.
         """
         entries = [f"entry-{n}" for n in range(fleet)]
         made = [cold_bucket(entry, entries, "t-1", rate, 0.0) for entry in entries]
@@ -40,16 +41,16 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """The retries of all entries keep to one limit."""
+    """The retries of all entries together stay within one limit."""
 
     @FIXED
     @given(st.integers(1, 40), st.integers(0, 400))
-    def test_shares_add_up(self, fleet: int, requests: int) -> None:
+    def test_retries_of_all_entries_stay_within_the_budget(self, fleet: int, requests: int) -> None:
         budgets = [RetryBudget(0.2, 10.0, 60.0) for _ in range(fleet)]
         for number in range(requests):
             budgets[number % fleet].request_arrived(number * 0.001)
-        taken = sum(sum(b.take(1.0, fleet) for _ in range(500)) for b in budgets)
-        self.assertLessEqual(taken, 0.2 * requests + 60.0)
+        retries = sum(sum(b.take(1.0, fleet) for _ in range(500)) for b in budgets)
+        self.assertLessEqual(retries, 0.2 * requests + 60.0)
 
     def test_the_window_slides(self) -> None:
         budget = RetryBudget(0.0, 10.0, 5.0)
@@ -59,9 +60,9 @@
 
 
 class BreakerTest(unittest.TestCase):
-    """One request at a time finds out whether a server is back."""
+    """One request at a time tests whether a server has recovered."""
 
-    def test_one_trial_after_the_pause(self) -> None:
+    def test_one_trial_request_is_allowed_after_the_pause(self) -> None:
         breaker = Breaker()
         breaker.failed(0.0)
         self.assertFalse(breaker.allows(FIRST_PAUSE - 0.01))
@@ -75,7 +76,7 @@
         breaker.succeeded()
         self.assertTrue(breaker.allows(3 * FIRST_PAUSE + 0.07))
 
-    def test_failures_of_requests_sent_together_count_once(self) -> None:
+    def test_failures_of_concurrent_requests_count_once(self) -> None:
         breaker = Breaker()
         for _ in range(10):
             breaker.failed(0.0)
