--- a/briarspur/gateway/availability.py
+++ b/briarspur/gateway/availability.py
@@ -23,7 +23,7 @@
     """Tracks the latest time at which the store is known to have answered any entry.
 
     The state does not depend on this entry's own calls alone. An entry that lost the store in a
-    network partition, and then left reading to others, does not call it again; it would consider
+    network partition, and then left reading to others, would not call it again. It would consider
     the store unavailable for as long as it runs, hold every removal, and send requests to servers
     2.7 s after they had left. Therefore the reads that other entries report end an outage as well
     as a response to this entry.
--- a/briarspur/gateway/departures.py
+++ b/briarspur/gateway/departures.py
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldRemoval:
-    """The delayed removal of a target whose registration vanished; times in seconds, local clock.
+    """The delayed removal of a target; times are in seconds on this entry's clock.
 
     Attributes
     ----------
     due : float
         When the target is considered gone.
     since : float
-        Earliest time at which the registration may have vanished.
+        Earliest time at which its registration may have vanished.
     """
 
     target_id: str
--- a/briarspur/gateway/quotas.py
+++ b/briarspur/gateway/quotas.py
@@ -68,7 +68,8 @@
         Requests that exceeded the quota, by customer.
     live, recorded : int
         Number of entries whose news are received, including this one, and of those recorded in the
-        store. What the others admit is unknown, so their part of each limit is reserved for them.
+        store. What entries without received news admit is unknown, so their part of each limit is
+        reserved for them.
     knows_older_entry : bool
         Some other entry has run for longer than this one, so the received counts cover the time
         before this one's start.
--- a/briarspur/gateway/serverlimits.py
+++ b/briarspur/gateway/serverlimits.py
@@ -89,7 +89,7 @@
     ----------
     live, recorded : int
         Number of entries whose news are received, including this one, and of those recorded in the
-        store. The part of a limit that the others may use is reserved for them.
+        store. The part of a limit that entries without received news may use is reserved for them.
     """
 
     def __init__(
