--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -23,9 +23,7 @@
             self.availability.tick(now)
             now += 0.25
 
-    def test_a_registration_that_vanishes_while_the_store_is_available_is_removed_immediately(
-        self,
-    ) -> None:
+    def test_a_vanished_registration_is_removed_at_once_while_the_store_answers(self) -> None:
         self.assertTrue(self.departures.vanished("t-1", 0.0, 10.0))
         self.answered_until(20.0)
         self.assertTrue(self.departures.vanished("t-1", 0.0, 20.5))
@@ -33,8 +31,8 @@
     def test_targets_whose_registrations_lapsed_in_an_outage_are_kept_until_renewal(self) -> None:
         """Guards against refusing every request for two seconds after an outage of the store.
 
-        Registrations lapse during the outage as they cannot be renewed, so the first list after it
-        has no servers, although all are running and register again soon.
+        Registrations lapse in eight seconds of outage as they cannot be renewed, so the first list
+        after it has no servers, although all are running and register again soon.
         """
         departures = self.departures
         self.answered_until(10.0)
