--- a/tests/gateway/test_server_limits.py
+++ b/tests/gateway/test_server_limits.py
@@ -60,7 +60,7 @@
             fleet.simulate(20.0, 26.0, 70.0)
             self.check(fleet)
 
-    def test_a_limit_is_fully_used_under_demand(self) -> None:
+    def test_most_of_a_limit_is_used_under_demand(self) -> None:
         """Guards against limits that refuse requests which the servers would accept."""
         for entries, zones, per_s in ((10, 6, 1.7), (27, 3, 1.7), (27, 3, 0.5)):
             fleet = NoticeFleet(entries, 8, zones)
