--- a/briarspur/gateway/app.py
+++ b/briarspur/gateway/app.py
@@ -115,7 +115,7 @@
             lambda: self.following.significant(),
             lambda: self.following.store_age(),
             self.steering.usage_counts,
-            self.steering.quotas.worth_telling,
+            self.steering.quotas.worth_reporting,
             self.steering,
         )
         self.following = Following(
@@ -256,7 +256,7 @@
     def _make_sync(self, kind: Kind) -> Sync:
         return Sync(
             self._source,
-            Replica(kind, lambda value: self._codec.essence(kind, value)),
+            Replica(kind, lambda value: self._codec.relevant_part(kind, value)),
             self._read_times.paces[kind],
             self._rng,
             self.following.gate,
@@ -307,7 +307,7 @@
         self.gossip.members_changed(now)
         quotas = self.steering.quotas
         if now - quotas.started < quotas.window:
-            quotas.elder_heard = self.fleet.has_older_entry(quotas.window, now)
+            quotas.knows_older_entry = self.fleet.has_older_entry(quotas.window, now)
         self.steering.set_live_fleet_size(self.fleet.seen_size(now))
         self.steering.limits.forget(now)
         entry_ids = self.fleet.entry_ids(now)
@@ -340,7 +340,7 @@
         return Page(200 if self.is_ready() else 503)
 
     def _lookup_page(self, query: bytes) -> Page:
-        region, zone = self._codec.lookup_place(query)
+        region, zone = self._codec.lookup_location(query)
         entries = self.fleet.for_caller(region or self.me.region, zone, self._reactor.seconds())
         ttl = min(LOOKUP_TTL, self.settings.bounds.lookup_ttl_s)
         return Page(200, self._codec.lookup_body(entries, ttl))
--- a/briarspur/gateway/gossip.py
+++ b/briarspur/gateway/gossip.py
@@ -13,7 +13,7 @@
 from briarspur.gateway.loadview import ALL_OTHERS, LoadView, News, SeenEntries, SeenEntry
 from briarspur.gateway.relay import Relay, split_counts
 from briarspur.gateway.replica import Kind
-from briarspur.gateway.servernotice import NOTHING_SAID, ToldNotices
+from briarspur.gateway.servernotice import NO_NOTICES, ReportedNotices
 
 __all__ = ["Gossip", "GossipSender"]
 
@@ -53,10 +53,10 @@
 class NoticeKeeper(Protocol):
     """Keeps the limits and departures that backend servers advertise."""
 
-    def record_notices(self, notices: ToldNotices, now: float) -> None:
+    def record_notices(self, notices: ReportedNotices, now: float) -> None:
         """Record the notices that another entry reported."""
 
-    def notices_to_report(self, relays: bool, now: float) -> ToldNotices:
+    def notices_to_report(self, relays: bool, now: float) -> ReportedNotices:
         """Return the notices to report; with those of other entries if this entry relays."""
 
 
@@ -322,10 +322,10 @@
             notices=self._notices_to_report(now, part),
         )
 
-    def _notices_to_report(self, now: float, part: int) -> ToldNotices:
+    def _notices_to_report(self, now: float, part: int) -> ReportedNotices:
         """Return the servers' notices; only the first part of a sum has them."""
         if self._notices is None or part > 0:
-            return NOTHING_SAID
+            return NO_NOTICES
         # Only aggregators pass on the notices that other entries reported.
         return self._notices.notices_to_report(self.groups.is_aggregator, now)
 
--- a/briarspur/gateway/loadview.py
+++ b/briarspur/gateway/loadview.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field, replace
 
 from briarspur.gateway.replica import Kind
-from briarspur.gateway.servernotice import NOTHING_SAID, ToldNotices
+from briarspur.gateway.servernotice import NO_NOTICES, ReportedNotices
 from briarspur.gateway.target import Target
 
 __all__ = [
@@ -83,7 +83,7 @@
         Seconds since the store confirmed them.
     seen : SeenEntries
         Entries that were seen alive recently.
-    notices : ToldNotices
+    notices : ReportedNotices
         Limits and departures that backend servers advertised.
     """
 
@@ -100,7 +100,7 @@
     parts: int = 1
     included: Mapping[int, int] = field(default_factory=dict)
     seen: SeenEntries = SeenEntries()
-    notices: ToldNotices = NOTHING_SAID
+    notices: ReportedNotices = NO_NOTICES
 
     def delayed(self, seconds: float) -> "News":
         """Return the news with all ages increased by a transit delay."""
--- a/briarspur/gateway/steering.py
+++ b/briarspur/gateway/steering.py
@@ -12,13 +12,13 @@
 from briarspur.gateway.authorization import Authorization
 from briarspur.gateway.chooser import Choice, Chooser, SelectionCriteria
 from briarspur.gateway.coldstart import cold_bucket
-from briarspur.gateway.configuration import Configuration, Route, WeightedTurns
+from briarspur.gateway.configuration import Configuration, Route, WeightedRoundRobin
 from briarspur.gateway.loadview import LoadView
 from briarspur.gateway.outcome import NOT_RUN, UNSENT, Outcome
 from briarspur.gateway.quotas import Quotas
 from briarspur.gateway.retrybudget import RetryBudget
 from briarspur.gateway.serverlimits import ServerLimits
-from briarspur.gateway.servernotice import FROM_ANSWER, ServerNotice, ToldNotices
+from briarspur.gateway.servernotice import FROM_ANSWER, ReportedNotices, ServerNotice
 from briarspur.gateway.target import Target
 from briarspur.gateway.targettable import TargetTable
 from briarspur.gateway.transit import TransitTimes
@@ -82,7 +82,7 @@
         self.fleet_size = 1
         self._chooser = Chooser(self.work_times, self.transit)
         self._bounds = bounds
-        self._turns_by_route: dict[str, tuple[Route, WeightedTurns]] = {}
+        self._turns_by_route: dict[str, tuple[Route, WeightedRoundRobin]] = {}
         self._retry_budget_by_service: dict[str, RetryBudget] = {}
 
     # Current configuration and fleet
@@ -135,7 +135,7 @@
         if isinstance(allowed, Refused):
             return allowed
         route, customer = allowed.route, allowed.customer
-        over = self.quotas.refuse(customer, arrival.request_id, now)
+        over = self.quotas.check(customer, arrival.request_id, now)
         if over is not None:
             return Refused(Code.QUOTA_SPENT, over.retry_after, over.detail)
         time_budget = min(arrival.timeout, route.timeout)
@@ -170,7 +170,7 @@
         choice = self._choose(work, work.regions, targets, now)
         if choice is None:
             suspected = sum(target.breaker.suspected(now) for target in targets)
-            limited = self.limits.limited(targets)
+            limited = self.limits.count_limited(targets)
             backing_off = sum(target.is_backing_off(now) for target in targets)
             detail = (
                 f"none of {len(targets)} targets in time, {suspected} suspected, "
@@ -204,12 +204,12 @@
         if notice.rest > 0.0:
             self.targets.record_backoff(target, notice.rest, now)
 
-    def record_notices(self, notices: ToldNotices, now: float) -> None:
+    def record_notices(self, notices: ReportedNotices, now: float) -> None:
         """Record the notices that other entries received from servers."""
-        self.limits.told(notices.limits, now)
+        self.limits.reported(notices.limits, now)
         self.targets.record_reported_leaving(notices.leaving, now)
 
-    def notices_to_report(self, relays: bool, now: float) -> ToldNotices:
+    def notices_to_report(self, relays: bool, now: float) -> ReportedNotices:
         """Return the servers' notices to report to the other entries.
 
         Parameters
@@ -217,7 +217,9 @@
         relays : bool
             Whether notices that other entries reported are included.
         """
-        return ToldNotices(self.limits.to_tell(relays, now), self.targets.leaving_to_report(now))
+        return ReportedNotices(
+            self.limits.to_report(relays, now), self.targets.leaving_to_report(now)
+        )
 
     def record_overdue(self, attempt: Attempt, now: float) -> None:
         """Record that an unfinished attempt has taken far longer than expected."""
@@ -302,8 +304,8 @@
         return None
 
     def _record_usage_change(self, number: int, change: int) -> None:
-        self.quotas.heard(number, change)
-        self.limits.heard(number, change)
+        self.quotas.received(number, change)
+        self.limits.received(number, change)
 
     def _start_attempt(self, work: Work, choice: Choice, now: float) -> Attempt:
         target = choice.target
@@ -388,11 +390,11 @@
         mean = self.work_times.service_mean(work.service, work.route.goal)
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, mean))
 
-    def _turns(self, route: Route) -> WeightedTurns:
+    def _turns(self, route: Route) -> WeightedRoundRobin:
         known = self._turns_by_route.get(route.name)
         if known is not None and known[0].parts == route.parts:
             return known[1]
-        turns = WeightedTurns(route.parts)
+        turns = WeightedRoundRobin(route.parts)
         self._turns_by_route[route.name] = (route, turns)
         return turns
 
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -66,7 +66,12 @@
     Mechanism("breaker", "breaker.py", "MIN_PAUSE_S = 0.4", "MIN_PAUSE_S = 0.0"),
     Mechanism("load news", "loadview.py", "STALE_S = 1.5", "STALE_S = -1.0"),
     Mechanism("kept connections", "pool.py", "KEPT_IDLE = 8.0", "KEPT_IDLE = 0.0"),
-    Mechanism("held departures", "departures.py", "RETURN_TIME = 2.2", "RETURN_TIME = -9e9"),
+    Mechanism(
+        "held departures",
+        "departures.py",
+        "REREGISTRATION_S = 2.2",
+        "REREGISTRATION_S = -9e9",
+    ),
     Mechanism(
         "warm record in the store",
         "warmthkeeper.py",
