--- a/briarspur/core.py
+++ b/briarspur/core.py
@@ -136,7 +136,7 @@
         self.policy = policy
         self._classifier = Classifier(policy, home_of)
         self.keys.set_lifetime(policy.lookup_lifetime + policy.key_lifetime)
-        self.routing.policy_accepted(policy, now)
+        self.routing.apply_policy(policy, now)
         self._assign(now)
         out: list[Action] = []
         self._pipeline.run_waiting(now, out)
@@ -152,7 +152,7 @@
 
     def plan_accepted(self, splits: Splits) -> None:
         """Let the splits of a plan, by service and home region, go before the policy's."""
-        self.routing.follow_plan(splits)
+        self.routing.apply_plan(splits)
 
     def _assign(self, now: float) -> None:
         if self.policy is None or self.me not in self.view.by_id:
@@ -292,8 +292,10 @@
     def tick(self, now: float, wall: float) -> list[Action]:
         """Refuse at once what would wait too long, and use what has become free."""
         out: list[Action] = []
-        for work in self.placement.hopeless(now):
-            self._pipeline.refuse(work, self.placement.overloaded(work.service.name, now), out)
+        for work in self.placement.remove_late(now):
+            self._pipeline.refuse(
+                work, self.placement.overload_refusal(work.service.name, now), out
+            )
         self._pipeline.refuse_overdue_at_store(now, out)
         self.keys.expire(now, wall)
         self._pipeline.run_waiting(now, out)
@@ -301,7 +303,7 @@
 
     def next_wake(self, now: float) -> float | None:
         """Return when ``tick`` wants to be called; None if nothing waits."""
-        return now + TICK_S if self.placement.waiting() else None
+        return now + TICK_S if self.placement.total_queue_length() else None
 
     @property
     def account(self) -> Account:
--- a/briarspur/exchange.py
+++ b/briarspur/exchange.py
@@ -70,7 +70,7 @@
         """Return what to tell a peer now, bounded in size."""
         leaving = sorted(self._leaving_since_by_id.items(), key=lambda item: -item[1])
         return News(
-            loads=tuple(self._placement.reports(now)),
+            loads=tuple(self._placement.load_reports(now)),
             verdicts=tuple(self._quarantine.verdicts(now)[:VERDICTS_AT_ONCE]),
             leaving=tuple(
                 LeavingNotice(target_id, now - since)
@@ -99,7 +99,7 @@
         if since <= known or now - since >= LEAVING_LIFETIME_S:
             return
         self._leaving_since_by_id[target_id] = since
-        self._placement.signal(target_id, since + LEAVING_LIFETIME_S)
+        self._placement.mark_leaving(target_id, since + LEAVING_LIFETIME_S)
         self._forget_old(now)
 
     def _forget_old(self, now: float) -> None:
@@ -112,7 +112,7 @@
     ) -> BorrowWanted | None:
         """Return whom to ask for a part of the region's limit; None if there is no need."""
         account = self._placement.account
-        waiting = self._placement.waiting()
+        waiting = self._placement.total_queue_length()
         needed = waiting > 0 and account.free(now, now) == 0
         if not needed or now - self._asked_at < BORROW_INTERVAL_S:
             return None
--- a/briarspur/finals.py
+++ b/briarspur/finals.py
@@ -32,7 +32,7 @@
 
     def close(self, work: Work) -> None:
         """Forget a request that needs no answer any more."""
-        self._placement.forget(work)
+        self._placement.dequeue(work)
         self._works_by_id.pop(work.request.request_id, None)
 
     def answered(self, work: Work, answer: Answer | None, now: float, out: list[Action]) -> None:
--- a/briarspur/node.py
+++ b/briarspur/node.py
@@ -307,7 +307,7 @@
             return b""
         now = self._clock.monotonic()
         counts = {
-            service: _slot_count(targets, self.core.placement.queued(service), now)
+            service: _slot_count(targets, self.core.placement.queue_length(service), now)
             for service, targets in self.core.placement.targets_by_service.items()
         }
         return self._meter.document(counts, now).model_dump_json().encode()
--- a/briarspur/pipeline.py
+++ b/briarspur/pipeline.py
@@ -111,7 +111,7 @@
         match step:
             case Run(key=key):
                 work.key = key
-                self._routing.first_attempt(work)
+                self._routing.record_first_attempt(work)
                 self.admit(work, now, out)
             case ClaimKey(key=key):
                 work.key = key
@@ -158,7 +158,7 @@
         if claim.result is ClaimResult.OURS:
             self._keys.mark_claimed(key)
             if work.caller_here:
-                self._routing.first_attempt(work)
+                self._routing.record_first_attempt(work)
                 self.admit(work, now, out)
             else:
                 # Kept as ours but not run: the claim can't be made a second time, so a repeat that
@@ -219,13 +219,13 @@
     def _place(self, work: Work, now: float, out: list[Action]) -> None:
         placed = self._routing.place(work, now)
         match placed:
-            case ToTarget(own=own):
+            case ToTarget(target=own):
                 self._dispatch(work, own, now, out)
             case ToEntry(member=member):
                 self._forward(work, member, now, out)
             case Queued(evicted=evicted):
                 if evicted is not None:
-                    refusal = self._placement.overloaded(evicted.service.name, now)
+                    refusal = self._placement.overload_refusal(evicted.service.name, now)
                     self.refuse(evicted, refusal, out)
             case Refused(refusal=refusal):
                 self.refuse(work, refusal, out)
@@ -235,7 +235,7 @@
         if action is not None:
             out.append(action)
         else:
-            self.refuse(work, self._placement.overloaded(work.service.name, now), out)
+            self.refuse(work, self._placement.overload_refusal(work.service.name, now), out)
 
     def _forward(
         self,
@@ -249,7 +249,7 @@
         if action is not None:
             out.append(action)
         else:
-            self.refuse(work, self._placement.overloaded(work.service.name, now), out)
+            self.refuse(work, self._placement.overload_refusal(work.service.name, now), out)
 
     # After an attempt
 
@@ -300,7 +300,7 @@
     ) -> None:
         """End a request that was not run, and say so."""
         if work.tries == 0 or proof is not None:
-            self._routing.not_sent(work)
+            self._routing.cancel_shift(work)
         self._finals.give_up(work, refusal, out, proof)
 
     def _again(self, work: Work, now: float, out: list[Action]) -> None:
--- a/briarspur/region.py
+++ b/briarspur/region.py
@@ -1,4 +1,4 @@
-"""Filter: which region serves a request."""
+"""Pipeline filter that chooses the region of a request."""
 
 import random
 from collections.abc import Callable, Mapping, Sequence
@@ -14,70 +14,74 @@
 __all__ = ["RegionChoice", "RegionChooser", "Splits"]
 
 Splits = Mapping[str, Mapping[str, Mapping[str, float]]]
-"""By service and home region, the share of its callers that each region serves."""
+"""Share of callers that each region serves, by service, home region and serving region."""
 
-ShiftGate = Callable[[str, str, str, MovedBy], bool]
-"""Called with service, home, region and kind; False if the cap on shifts forbids the move."""
+ShiftAdmission = Callable[[str, str, str, MovedBy], bool]
+"""Called with service, home, region and kind; returns False if the shift cap is reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class RegionChoice:
-    """The region chosen, and what moved the request there if it is not at home."""
+    """The chosen region, and the kind of shift if it is not the home region."""
 
     region: str
     moved_by: MovedBy | None
 
 
 class RegionChooser:
-    """Chooses by the split in force; moves on to other regions only where a cap allows it.
+    """Chooses regions by the split in force; spills to other regions within the shift caps.
 
     Parameters
     ----------
     policy : Policy
         The policy in force.
     rng : random.Random
-        Draws the region where a split gives shares to several.
-    before : RegionChooser or None
-        The chooser of the former policy; its plan stays in force.
+        Draws a region from a split over several regions.
+    previous : RegionChooser or None
+        The chooser for the previous policy; its plan stays in force.
     """
 
     def __init__(
-        self, policy: Policy, rng: random.Random, before: "RegionChooser | None" = None
+        self, policy: Policy, rng: random.Random, previous: "RegionChooser | None" = None
     ) -> None:
         self._policy = policy
         self._rng = rng
-        self._planned: Splits = before._planned if before is not None else {}
+        self._planned: Splits = previous._planned if previous is not None else {}
 
-    def follow_plan(self, splits: Splits) -> None:
-        """Let the splits of a plan, by service and home, go before those of the policy."""
+    def apply_plan(self, splits: Splits) -> None:
+        """Use the splits of a plan, by service and home, in preference to the policy's."""
         self._planned = splits
 
     def choose(
-        self, service: Service, home: str, usable: Callable[[str], bool], gate: ShiftGate
+        self,
+        service: Service,
+        home: str,
+        is_usable: Callable[[str], bool],
+        admit_shift: ShiftAdmission,
     ) -> Result[RegionChoice, Refusal]:
-        """Return the region for a request.
+        """Return the region for a request, or a refusal.
 
         Parameters
         ----------
-        usable : callable
-            Tells whether a region has an entry and a target for the service.
-        gate : callable
-            Takes a move from the shift budget; False if the cap is reached.
+        is_usable : callable
+            Returns whether a region has an entry and a target for the service.
+        admit_shift : callable
+            Charges a shift to the shift budget; returns False if the cap is reached.
         """
         drawn = self._draw(self.split(service, home), home)
-        if usable(drawn):
-            choice = self._drawn_choice(service, home, drawn, usable, gate)
+        if is_usable(drawn):
+            choice = self._drawn_choice(service, home, drawn, is_usable, admit_shift)
             if choice is not None:
                 return Ok(choice)
-        return self._spill(service, home, drawn, usable, gate)
+        return self._spill(service, home, drawn, is_usable, admit_shift)
 
     def split(self, service: Service, home: str) -> Mapping[str, float]:
-        """Return the share of each region for callers of ``home``."""
+        """Return the share of each region in serving callers of ``home``."""
         planned = self._planned.get(service.name, {}).get(home)
         return planned or service.split_by_home.get(home) or {home: 1.0}
 
     def spill_order(self, home: str) -> Sequence[str]:
-        """Return the regions to move to when ``home`` can't serve, nearest first."""
+        """Return the regions to spill to when ``home`` can't serve a request, nearest first."""
         return self._policy.regions_by_name[home].spill_to
 
     def _draw(self, split: Mapping[str, float], home: str) -> str:
@@ -95,16 +99,16 @@
         service: Service,
         home: str,
         drawn: str,
-        usable: Callable[[str], bool],
-        gate: ShiftGate,
+        is_usable: Callable[[str], bool],
+        admit_shift: ShiftAdmission,
     ) -> RegionChoice | None:
-        """Return the drawn region if it is home or the cap allows the move; home if it can."""
+        """Return the drawn region, else the home region, as the caps allow; None if neither."""
         if drawn == home:
-            allowed = gate(service.name, home, home, MovedBy.RETURN)
+            allowed = admit_shift(service.name, home, home, MovedBy.RETURN)
             return RegionChoice(home, None) if allowed else None
-        if gate(service.name, home, drawn, MovedBy.PLANNED):
+        if admit_shift(service.name, home, drawn, MovedBy.PLANNED):
             return RegionChoice(drawn, MovedBy.PLANNED)
-        if usable(home) and gate(service.name, home, home, MovedBy.RETURN):
+        if is_usable(home) and admit_shift(service.name, home, home, MovedBy.RETURN):
             return RegionChoice(home, None)
         return None
 
@@ -112,19 +116,19 @@
         self,
         service: Service,
         home: str,
-        tried: str,
-        usable: Callable[[str], bool],
-        gate: ShiftGate,
+        excluded: str,
+        is_usable: Callable[[str], bool],
+        admit_shift: ShiftAdmission,
     ) -> Result[RegionChoice, Refusal]:
-        """Move to the nearest other region that a cap allows; refuse if there is none."""
+        """Choose the nearest other region that the caps allow; return a refusal if none does."""
         capped = False
         for region in (home, *self.spill_order(home)):
-            if region == tried or not usable(region):
+            if region == excluded or not is_usable(region):
                 continue
             moved_by = None if region == home else MovedBy.EMERGENCY
-            # Home traffic is counted too: uncounted, it would look like a return to home in the
-            # next window and be refused beyond the cap on returns.
-            if gate(service.name, home, region, moved_by or MovedBy.RETURN):
+            # Home traffic is counted too. Otherwise it would look like a return to home in the next
+            # window, and what exceeds the cap on returns would be refused.
+            if admit_shift(service.name, home, region, moved_by or MovedBy.RETURN):
                 return Ok(RegionChoice(region, moved_by))
             capped = True
         code = Code.SHIFT_CAPPED if capped else Code.NO_TARGET
--- a/briarspur/routing.py
+++ b/briarspur/routing.py
@@ -1,4 +1,4 @@
-"""Filters: which region serves a request and where in it, under the caps on shifts."""
+"""Pipeline filters that choose the region and the place for a request, within the shift caps."""
 
 import random
 from dataclasses import replace
@@ -8,7 +8,7 @@
 from briarspur.coord.retry import RetryBudget
 from briarspur.coord.shift import ShiftBudget, ShiftCap
 from briarspur.messages import MovedBy, Priority
-from briarspur.placement import Placed, Placement, Refused
+from briarspur.placement import Placement, PlacementResult, Refused
 from briarspur.policy import Policy
 from briarspur.refusal import Refusal
 from briarspur.region import RegionChooser, Splits
@@ -16,42 +16,46 @@
 
 __all__ = ["Routing"]
 
-NO_TARGET_RETRY_AFTER = 1.0
-"""Seconds; entries and targets are found anew about as fast."""
+NO_TARGET_RETRY_AFTER_S = 1.0
+"""About the time in which entries and targets are rediscovered."""
 
-SPILLS_ON = frozenset({Code.OVERLOADED, Code.REGION_FULL, Code.NO_TARGET})
-"""Refusals of a region after which another region may take the request."""
+SPILL_CODES = frozenset({Code.OVERLOADED, Code.REGION_FULL, Code.NO_TARGET})
+"""Codes of a region's refusal after which another region may serve the request."""
 
 
 class Routing:
-    """Chooses region and place; owns the budgets of shifts and retries.
+    """Chooses the region and the place for requests; owns the shift and retry budgets.
 
     Parameters
     ----------
-    me : str
+    entry_id : str
         This entry's id.
     region : str
-        Its region.
+        This entry's region.
     """
 
-    def __init__(self, me: str, region: str, placement: Placement, rng: random.Random) -> None:
+    def __init__(
+        self, entry_id: str, region: str, placement: Placement, rng: random.Random
+    ) -> None:
         self.shifts = ShiftBudget({})
-        self._me = me
+        self._entry_id = entry_id
         self._region = region
         self._placement = placement
         self._rng = rng
         self._regions: RegionChooser | None = None
         self._retries_by_service: dict[str, RetryBudget] = {}
 
-    def policy_accepted(self, policy: Policy, now: float) -> None:
-        """Take this entry's shares of the limits and caps of a new policy."""
+    def apply_policy(self, policy: Policy, now: float) -> None:
+        """Apply this entry's shares of the limits and caps in a new policy."""
         self._regions = RegionChooser(policy, self._rng, self._regions)
         region = policy.regions_by_name[self._region]
-        share = base_shares(region.in_flight_limit, region.entry_ids).get(self._me, 0)
+        share = base_shares(region.in_flight_limit, region.entry_ids).get(self._entry_id, 0)
         self._placement.set_limit(share, now, EscrowSettings(max_use=policy.longest_deadline))
         entry_ids = sorted(policy.entry_zones)
         caps = {
-            kind.value: ShiftCap(base_shares(cap.requests, entry_ids).get(self._me, 0), cap.window)
+            kind.value: ShiftCap(
+                base_shares(cap.requests, entry_ids).get(self._entry_id, 0), cap.window
+            )
             for kind, cap in policy.caps_by_kind.items()
         }
         self.shifts.set_shares(caps, now)
@@ -59,24 +63,24 @@
             budget = self._retries_by_service.setdefault(service, RetryBudget(policy.retry_share))
             budget.set_share(policy.retry_share)
 
-    def follow_plan(self, splits: Splits) -> None:
-        """Let the splits of a plan go before the policy's."""
+    def apply_plan(self, splits: Splits) -> None:
+        """Use the splits of a plan in preference to the policy's."""
         if self._regions is not None:
-            self._regions.follow_plan(splits)
+            self._regions.apply_plan(splits)
 
-    def first_attempt(self, work: Work) -> None:
+    def record_first_attempt(self, work: Work) -> None:
         """Count a request towards the retry budget of its service."""
         self._retries_by_service[work.service.name].record_first_attempt()
 
     def take_retry(self, work: Work) -> bool:
-        """Take one retry from the budget; False if it is spent."""
+        """Take one retry from the budget of the service; return False if it is exhausted."""
         return self._retries_by_service[work.service.name].take()
 
     def choose_region(self, work: Work, now: float) -> Refusal | None:
-        """Set the region of a request; return why there is none.
+        """Choose the region of a request; return a refusal if no region can serve it.
 
-        A request that another entry sent here to be dispatched runs here: that entry has chosen the
-        region, and has taken the move from its budget.
+        A request that another entry forwarded here for dispatch runs in this region: the other
+        entry has already chosen the region and charged the shift to its own budget.
         """
         request = work.request
         if request.forwarded_by is not None and (work.key is None or request.dispatch_only):
@@ -85,58 +89,58 @@
         assert self._regions is not None
         service = work.service.name
 
-        def usable(region: str) -> bool:
-            return self._placement.usable(service, region)
+        def is_usable(region: str) -> bool:
+            return self._placement.is_usable(service, region)
 
-        def gate(service: str, home: str, region: str, kind: MovedBy) -> bool:
-            return self._gate(service, home, region, kind, now)
+        def admit_shift(service: str, home: str, region: str, kind: MovedBy) -> bool:
+            return self._admit_shift(service, home, region, kind, now)
 
-        chosen = self._regions.choose(work.service, work.home, usable, gate)
+        chosen = self._regions.choose(work.service, work.home, is_usable, admit_shift)
         if chosen.is_error():
             return self._with_retry_after(chosen.error, now)
         work.region, work.moved_by = chosen.ok.region, chosen.ok.moved_by
         work.counted_at = now
         return None
 
-    def not_sent(self, work: Work) -> None:
-        """Uncount a request that was refused in the region chosen for it.
+    def cancel_shift(self, work: Work) -> None:
+        """Remove a request that its chosen region refused from the shift budget.
 
-        Counted as carried, refused requests would raise what the next window lets through without
-        a cap: a region that refuses everything for a while would then be flooded.
+        The requests counted in one window pass uncapped in the next. If refused requests were
+        counted, a region that refuses everything for a while would be flooded afterwards.
         """
         if work.counted_at is not None:
             service = work.service.name
             self.shifts.cancel(service, work.home, work.region, work.counted_at)
             work.counted_at = None
 
-    def _gate(self, service: str, home: str, region: str, kind: MovedBy, now: float) -> bool:
+    def _admit_shift(self, service: str, home: str, region: str, kind: MovedBy, now: float) -> bool:
         return self.shifts.admit(service, home, region, kind.value, now)
 
     def _with_retry_after(self, refusal: Refusal, now: float) -> Refusal:
-        wait = NO_TARGET_RETRY_AFTER
+        wait = NO_TARGET_RETRY_AFTER_S
         if refusal.code is Code.SHIFT_CAPPED:
             wait = self.shifts.retry_after(MovedBy.EMERGENCY.value, now)
         return replace(refusal, retry_after=wait * (1 + self._rng.random()))
 
-    def place(self, work: Work, now: float) -> Placed:
-        """Find a place in the chosen region, or in another one if a cap allows it."""
+    def place(self, work: Work, now: float) -> PlacementResult:
+        """Place a request in the chosen region, or in another one if a shift cap allows it."""
         may_forward = _may_forward(work)
         placed = self._placement.place(work, now, may_forward)
         if not isinstance(placed, Refused) or not may_forward:
             return placed
-        if placed.refusal.code not in SPILLS_ON or work.priority is Priority.BULK:
+        if placed.refusal.code not in SPILL_CODES or work.priority is Priority.BULK:
             return placed
         return self._spill(work, now) or placed
 
-    def _spill(self, work: Work, now: float) -> Placed | None:
-        """Move a request that its region can't take to the nearest one that seems to have room."""
+    def _spill(self, work: Work, now: float) -> PlacementResult | None:
+        """Move a request that its region refused to the nearest region with estimated room."""
         assert self._regions is not None
         service, refused_in = work.service.name, work.region
         for region in self._regions.spill_order(work.home):
             if region == refused_in or not self._placement.has_room(service, region, now):
                 continue
-            if self._gate(service, work.home, region, MovedBy.EMERGENCY, now):
-                self.not_sent(work)
+            if self._admit_shift(service, work.home, region, MovedBy.EMERGENCY, now):
+                self.cancel_shift(work)
                 work.region, work.moved_by = region, MovedBy.EMERGENCY
                 work.counted_at = now
                 placed = self._placement.place(work, now, may_forward=True)
@@ -146,7 +150,7 @@
 
 
 def _may_forward(work: Work) -> bool:
-    """Tell whether a request may go to another entry; one that was sent here must run here."""
+    """Return whether a request may be forwarded; one forwarded here for dispatch must run here."""
     if work.request.dispatch_only:
         return False
     return work.request.forwarded_by is None or work.key is not None
--- a/tests/test_region.py
+++ b/tests/test_region.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a region."""
+"""Tests of choosing a region."""
 
 import json
 import random
@@ -11,24 +11,25 @@
 
 
 class RegionChooserTest(unittest.TestCase):
-    """Every request is counted in the shift budget, wherever it goes."""
+    """Every request is counted in the shift budget, whichever region serves it."""
 
-    def test_a_request_that_may_not_move_is_counted_at_home(self) -> None:
-        """Callers are sent away from a home that served them well a moment ago.
+    def test_a_request_that_may_not_shift_is_counted_at_home(self) -> None:
+        """Guards against refusing home traffic that stayed within the home region.
 
-        A plan moves more than its cap allows, so the rest stays at home. Uncounted there, it looked
-        like a return when the plan changed, and was refused beyond the cap on returns.
+        A plan shifts more than its cap allows, so the excess is served at home. If it is not
+        counted there, it looks like a return when the plan changes, and what exceeds the cap on
+        returns is refused.
         """
         policy = compile_policy(parse_policy(json.dumps(small_policy())), version=1)
         chooser = RegionChooser(policy, random.Random(1))
-        chooser.follow_plan({"times": {"north": {"south": 1.0}}})
+        chooser.apply_plan({"times": {"north": {"south": 1.0}}})
         asked: list[tuple[str, str, MovedBy]] = []
 
-        def gate(service: str, home: str, region: str, kind: MovedBy) -> bool:
+        def admit_shift(service: str, home: str, region: str, kind: MovedBy) -> bool:
             asked.append((home, region, kind))
             return region == home
 
         service = policy.services_by_name["times"]
-        chosen = chooser.choose(service, "north", lambda region: True, gate)
+        chosen = chooser.choose(service, "north", lambda region: True, admit_shift)
         self.assertEqual(chosen.ok.region, "north")
         self.assertEqual(asked[-1], ("north", "north", MovedBy.RETURN))
