--- a/briarspur/planner.py
+++ b/briarspur/planner.py
@@ -1,11 +1,11 @@
-"""Decides splits of traffic between regions, in steps within the caps, from lagging measurements.
+"""Plans how traffic is split between regions, in steps within the caps, from delayed measurements.
 
-The planner aims at the policy's split, corrected where a region cannot carry its part: what is too
-much there goes to the nearest regions with warm capacity left. Each step is bounded by the caps,
-and no step follows from a measurement that was taken before the step before it took effect.
+The planner's goal is the policy's split, corrected where a region can't serve its part: the surplus
+goes to the nearest regions with spare warm capacity. Each step is bounded by the caps. The planner
+doesn't act on measurements that were taken before its previous step took effect.
 
-A region that nobody reports on is taken neither for idle nor for dead. For a while every split that
-would change its traffic is held; then the planner gives it no more than the policy does.
+A region without reports is assumed to be neither idle nor dead. For the hold time, every split that
+would change its traffic is held; after that, the region gets no more than the policy gives it.
 """
 
 import math
@@ -18,61 +18,61 @@
 from briarspur.messages import MovedBy
 from briarspur.plan import PlanDocument, PlanSplit
 from briarspur.policy import Policy
-from briarspur.splits import Shares, are_close, policy_split, rounded, step_within_caps
+from briarspur.splits import Shares, are_close, policy_split, round_shares, step_within_caps
 
 __all__ = ["Planner", "PlannerSettings"]
 
 
 @dataclass(frozen=True, slots=True)
 class PlannerSettings:
-    """Settings; times in seconds.
+    """Settings of the planner; times in seconds.
 
     Attributes
     ----------
-    usable : float
-        Part of the capacity that a plan may fill.
+    max_utilization : float
+        Part of the capacity that a plan may use.
     report_delay : float
-        How old the measurements in a report may be on arrival.
-    settle : float
-        Least time after a step until its effect can have been measured.
-    fresh : float
-        A report older than this is missing.
-    hold : float
-        How long a plan is held while reports of a region are missing.
-    least_change : float
-        Smallest change of a share that is worth a step.
+        Maximum age of the measurements in a report on its arrival.
+    settling_time : float
+        Minimum time after a step before measurements can show its effect.
+    max_report_age : float
+        Age after which a report counts as missing.
+    hold_time : float
+        How long a plan is held while the reports of a region are missing.
+    min_change : float
+        Smallest change of a share that justifies a step.
     """
 
-    usable: float = 0.85
+    max_utilization: float = 0.85
     report_delay: float = 6.0
-    settle: float = 5.0
-    fresh: float = 10.0
-    hold: float = 60.0
-    least_change: float = 0.01
+    settling_time: float = 5.0
+    max_report_age: float = 10.0
+    hold_time: float = 60.0
+    min_change: float = 0.01
 
 
 class Planner:
-    """Makes the plans of one holder of the lease.
+    """Computes the plans of one holder of the lease.
 
     Parameters
     ----------
     holder : str
-        This process; written into each plan.
+        Id of this process, which is written into each plan.
     """
 
     def __init__(self, holder: str, settings: PlannerSettings | None = None) -> None:
         self._holder = holder
         self._settings = settings or PlannerSettings()
         self._measurements = Measurements(
-            self._settings.report_delay, self._settings.fresh, self._settings.hold
+            self._settings.report_delay, self._settings.max_report_age, self._settings.hold_time
         )
         self._stepped_at_by_service: dict[str, float] = {}
-        self._filled_at_by_region: dict[str, float] = {}
+        self._gained_at_by_region: dict[str, float] = {}
         self._plan: PlanDocument | None = None
-        self._began_at = -math.inf
+        self._term_began_at = -math.inf
 
-    def begin(self, term: int, stored: PlanDocument | None, now: float) -> None:
-        """Begin a term with the plan that is in the store; nothing measured before counts."""
+    def begin_term(self, term: int, stored: PlanDocument | None, now: float) -> None:
+        """Begin a term from the stored plan, discarding earlier measurements."""
         same_term = stored is not None and stored.term == term
         self._plan = PlanDocument(
             term=term,
@@ -82,44 +82,44 @@
             splits=stored.splits if stored is not None else {},
         )
         self._measurements.clear(now)
-        # The holder before may have made a step just now, so its effect is not measured yet.
+        # The previous holder may have just made a step whose effect is not measured yet.
         self._stepped_at_by_service.clear()
-        self._filled_at_by_region.clear()
-        self._began_at = now
+        self._gained_at_by_region.clear()
+        self._term_began_at = now
 
-    def reported(self, document: LoadDocument, now: float) -> None:
-        """Take an entry's report."""
+    def add_report(self, document: LoadDocument, now: float) -> None:
+        """Record the load report of an entry."""
         self._measurements.add(document, now)
 
-    def plan(self, policy: Policy, now: float) -> PlanDocument | None:
-        """Return the next plan; None if nothing is to be changed now."""
+    def next_plan(self, policy: Policy, now: float) -> PlanDocument | None:
+        """Return the next plan; None if no step is due now."""
         if self._plan is None:
             return None
         picture = self._measurements.picture(now)
         splits: dict[str, dict[str, PlanSplit]] = {}
         has_step = False
-        # The one that stepped longest ago goes first, so that each has its turn.
+        # Least recently stepped service first, so that no service starves the others.
         for service in sorted(
             policy.services_by_name,
             key=lambda name: (self._stepped_at_by_service.get(name, -math.inf), name),
         ):
-            before = self._current(policy, service)
+            before = self._current_splits(policy, service)
             after = before
-            if self._is_seen(policy, self._stepped_at_by_service.get(service), picture):
-                after = self._next(policy, service, before, picture, now)
-            filled = _filled(before, after)
-            # All services share a region's limit: the room that one has just planned into still
-            # looks free to the others, in this round and until its effect is measured.
+            if self._has_taken_effect(policy, self._stepped_at_by_service.get(service), picture):
+                after = self._next_splits(policy, service, before, picture, now)
+            gaining = _gaining_regions(before, after)
+            # All services share a region's limit. Capacity that one service has just planned to use
+            # still looks free to the others, in this round and until its effect is measured.
             if not all(
-                self._is_seen(policy, self._filled_at_by_region.get(region), picture)
-                for region in filled
+                self._has_taken_effect(policy, self._gained_at_by_region.get(region), picture)
+                for region in gaining
             ):
                 after = before
             if after != before:
                 has_step = True
                 self._stepped_at_by_service[service] = now
-                self._filled_at_by_region |= dict.fromkeys(filled, now)
-            splits[service] = self._documents(policy, service, before, after)
+                self._gained_at_by_region |= dict.fromkeys(gaining, now)
+            splits[service] = self._plan_splits(policy, service, before, after)
         if not has_step:
             return None
         self._plan = PlanDocument(
@@ -132,27 +132,28 @@
         return self._plan
 
     def headroom(self, policy: Policy, now: float) -> dict[tuple[str, str], float]:
-        """Return the requests per second that each service and region could take warm."""
+        """Return the spare warm capacity by service and region, in requests per second."""
         picture = self._measurements.picture(now)
         return {
             flow: self._capacity(policy, *flow, picture, warm=True) - measured.served
             for flow, measured in picture.by_flow.items()
         }
 
-    def _is_seen(self, policy: Policy, step_at: float | None, picture: Picture) -> bool:
-        """Tell whether every fresh report was taken when a step had had its effect."""
+    def _has_taken_effect(self, policy: Policy, step_at: float | None, picture: Picture) -> bool:
+        """Return whether every fresh report was taken after a step took effect."""
         if picture.oldest == math.inf:
             return False
-        began = self._began_at if step_at is None else step_at
+        began = self._term_began_at if step_at is None else step_at
         window = max(cap.window for cap in policy.caps_by_kind.values())
-        return picture.oldest >= began + max(window, self._settings.settle)
+        return picture.oldest >= began + max(window, self._settings.settling_time)
 
     def _capacity(
         self, policy: Policy, service: str, region: str, picture: Picture, warm: bool
     ) -> float:
-        """Return the requests per second a region can carry; 0 if nothing is known of it.
+        """Return the requests per second that a region can serve; 0 if it has no measurements.
 
-        Only its warm slots count as room for more; what it has already may also warm the others.
+        With ``warm``, only its warm slots count: additional traffic may use only these, while
+        existing traffic may also warm the others.
         """
         measured = picture.by_flow.get((service, region))
         if measured is None:
@@ -163,10 +164,10 @@
         busy = picture.slot_seconds(service, region)
         if busy == 0.0:
             return math.inf if slots else 0.0
-        return self._settings.usable * slots / busy
+        return self._settings.max_utilization * slots / busy
 
-    def _current(self, policy: Policy, service: str) -> dict[str, Shares]:
-        """Return the splits in force, the policy's where the plan has none that fits it."""
+    def _current_splits(self, policy: Policy, service: str) -> dict[str, Shares]:
+        """Return the splits in force: the plan's where it fits the policy, else the policy's."""
         assert self._plan is not None
         planned = self._plan.splits.get(service, {})
         regions = policy.regions_by_name.keys()
@@ -179,7 +180,7 @@
             )
         return current
 
-    def _next(
+    def _next_splits(
         self,
         policy: Policy,
         service: str,
@@ -187,18 +188,20 @@
         picture: Picture,
         now: float,
     ) -> dict[str, Shares]:
-        aim = self._aim(policy, service, before, picture, now)
+        desired = self._desired_splits(policy, service, before, picture, now)
         demand = {home: picture.demand.get((service, home), 0.0) for home in before}
-        after = step_within_caps(before, aim, demand, policy.caps_by_kind)
+        after = step_within_caps(before, desired, demand, policy.caps_by_kind)
         if all(self._is_small(before[home], after[home]) for home in before):
             return before
         return after
 
     def _is_small(self, before: Shares, after: Shares) -> bool:
-        least = self._settings.least_change
-        return all(abs(after.get(r, 0.0) - before.get(r, 0.0)) < least for r in {**before, **after})
+        min_change = self._settings.min_change
+        return all(
+            abs(after.get(r, 0.0) - before.get(r, 0.0)) < min_change for r in {**before, **after}
+        )
 
-    def _aim(
+    def _desired_splits(
         self,
         policy: Policy,
         service: str,
@@ -206,48 +209,50 @@
         picture: Picture,
         now: float,
     ) -> dict[str, Shares]:
-        """Return the splits to go to, leaving the traffic of held regions as it is."""
-        wanted = {home: policy_split(policy, service, home) for home in before}
-        relief = _Relief(
-            room={r: self._capacity(policy, service, r, picture, True) for r in before},
-            limit={r: self._limit(policy, service, r, picture, now) for r in before},
+        """Return the desired splits, which leave the traffic of held regions unchanged."""
+        policy_splits = {home: policy_split(policy, service, home) for home in before}
+        rebalancer = _Rebalancer(
+            warm_capacity={r: self._capacity(policy, service, r, picture, True) for r in before},
+            max_rate={r: self._max_rate(policy, service, r, picture, now) for r in before},
             demand={home: picture.demand.get((service, home), 0.0) for home in before},
         )
-        aim = relief.relieve(wanted, {r: policy.regions_by_name[r].spill_to for r in before})
+        desired = rebalancer.rebalance(
+            policy_splits, {r: policy.regions_by_name[r].spill_to for r in before}
+        )
         held = [r for r in before if self._measurements.is_held(r, now)]
-        for home in aim:
-            if any(aim[home].get(r, 0.0) != before[home].get(r, 0.0) for r in held):
-                aim[home] = before[home]
-        return aim
+        for home in desired:
+            if any(desired[home].get(r, 0.0) != before[home].get(r, 0.0) for r in held):
+                desired[home] = before[home]
+        return desired
 
-    def _limit(
+    def _max_rate(
         self, policy: Policy, service: str, region: str, picture: Picture, now: float
     ) -> float:
-        """Return what a region may keep of its present traffic; all of it if it is not seen."""
+        """Return the maximum rate for existing traffic of a region; infinite without reports."""
         if self._measurements.is_missing(region, now):
             return math.inf
         return self._capacity(policy, service, region, picture, warm=False)
 
-    def _documents(
+    def _plan_splits(
         self, policy: Policy, service: str, before: dict[str, Shares], after: dict[str, Shares]
     ) -> dict[str, PlanSplit]:
-        """Return the splits that differ from the policy's."""
+        """Return the splits that differ from the policy's, in the form of the plan document."""
         assert self._plan is not None
         documents = {}
         for home, shares in after.items():
             if are_close(shares, policy_split(policy, service, home)):
                 continue
-            former = self._plan.splits.get(service, {}).get(home)
-            moved_by = former.moved_by if former is not None else MovedBy.PLANNED
+            previous = self._plan.splits.get(service, {}).get(home)
+            moved_by = previous.moved_by if previous is not None else MovedBy.PLANNED
             if shares != before[home]:
-                goes_home = shares.get(home, 0.0) > before[home].get(home, 0.0)
-                moved_by = MovedBy.RETURN if goes_home else MovedBy.PLANNED
-            documents[home] = PlanSplit(shares=rounded(shares), moved_by=moved_by)
+                returns_home = shares.get(home, 0.0) > before[home].get(home, 0.0)
+                moved_by = MovedBy.RETURN if returns_home else MovedBy.PLANNED
+            documents[home] = PlanSplit(shares=round_shares(shares), moved_by=moved_by)
         return documents
 
 
-def _filled(before: Mapping[str, Shares], after: Mapping[str, Shares]) -> set[str]:
-    """Return the regions that get a larger share of some home."""
+def _gaining_regions(before: Mapping[str, Shares], after: Mapping[str, Shares]) -> set[str]:
+    """Return the regions whose share of some home grows."""
     return {
         region
         for home, shares in after.items()
@@ -257,38 +262,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Relief:
-    """Moves what regions can't carry to others; rates in requests per second.
+class _Rebalancer:
+    """Moves surplus traffic of regions to other regions; rates in requests per second.
 
     Attributes
     ----------
-    room, limit : dict of str to float
-        By region: up to which rate it may be given more, and above which it must give some away.
+    warm_capacity : dict of str to float
+        By region, the rate up to which it may receive additional traffic.
+    max_rate : dict of str to float
+        By region, the rate above which it must give up traffic.
     demand : dict of str to float
-        By home.
+        Demand by home region.
     """
 
-    room: dict[str, float]
-    limit: dict[str, float]
+    warm_capacity: dict[str, float]
+    max_rate: dict[str, float]
     demand: dict[str, float]
 
-    def relieve(
-        self, wanted: Mapping[str, Shares], spill_to: Mapping[str, tuple[str, ...]]
+    def rebalance(
+        self, splits: Mapping[str, Shares], spill_to: Mapping[str, tuple[str, ...]]
     ) -> dict[str, Shares]:
-        """Return ``wanted`` less what is too much, which goes to the nearest room."""
-        aim = {home: dict(shares) for home, shares in wanted.items()}
-        load = dict.fromkeys(self.room, 0.0)
-        for home, shares in wanted.items():
+        """Return ``splits`` with the surplus moved to the nearest regions with warm capacity."""
+        desired = {home: dict(shares) for home, shares in splits.items()}
+        load = dict.fromkeys(self.warm_capacity, 0.0)
+        for home, shares in splits.items():
             for region, share in shares.items():
                 load[region] += share * self.demand[home]
         for region in sorted(load):
-            if load[region] <= self.limit[region] or load[region] <= 0.0:
+            if load[region] <= self.max_rate[region] or load[region] <= 0.0:
                 continue
-            surplus_part = 1.0 - self.limit[region] / load[region]
-            for home, shares in aim.items():
+            surplus_part = 1.0 - self.max_rate[region] / load[region]
+            for home, shares in desired.items():
                 rate = surplus_part * shares.get(region, 0.0) * self.demand[home]
                 self._move(rate, region, home, shares, load, spill_to[home])
-        return aim
+        return desired
 
     def _move(
         self,
@@ -299,9 +306,9 @@
         load: dict[str, float],
         spill_to: tuple[str, ...],
     ) -> None:
-        """Move ``rate`` of one home's callers away from a region, as far as there is room."""
+        """Move up to ``rate`` of one home's traffic from a region to others with warm capacity."""
         for other in spill_to:
-            part = min(rate, max(0.0, self.room[other] - load[other]))
+            part = min(rate, max(0.0, self.warm_capacity[other] - load[other]))
             if other == region or part <= 0.0:
                 continue
             shares[region] -= part / self.demand[home]
@@ -310,5 +317,7 @@
             load[other] += part
             rate -= part
             invariants.check(
-                "planner.only-into-warm-room", load[other] <= self.room[other] + 1e-6, (other, load)
+                "planner.only-into-warm-room",
+                load[other] <= self.warm_capacity[other] + 1e-6,
+                (other, load),
             )
--- a/briarspur/steerround.py
+++ b/briarspur/steerround.py
@@ -117,19 +117,19 @@
         now = self._clock()
         self.entries_reporting = len(reports)
         for report in reports:
-            self._planner.reported(report, now)
+            self._planner.add_report(report, now)
         if policy is None:
             return False
         self.policy_version = policy.version
         self._measure(policy, now)
-        plan = self._planner.plan(policy, now)
+        plan = self._planner.next_plan(policy, now)
         return plan is not None and await self._write(plan)
 
     def _begin(self) -> None:
         """Go on from the plan that is in the store, under a new term."""
         self._term = self._lease.term
         self.last_plan = _stored_plan(self._writer.base)
-        self._planner.begin(self._term, self.last_plan, self._clock())
+        self._planner.begin_term(self._term, self.last_plan, self._clock())
         logs.event("lease-taken", term=self._term)
 
     async def _write(self, plan: PlanDocument) -> bool:
@@ -147,7 +147,7 @@
             # It may be in force: the next holder of a term reads it and goes on from there.
             return False
         # The planner took the step for done; start again from what is in force.
-        self._planner.begin(self._term, self.last_plan, self._clock())
+        self._planner.begin_term(self._term, self.last_plan, self._clock())
         return False
 
     def _measure(self, policy: Policy, now: float) -> None:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Tests of the planner and of the order of plans."""
+"""Tests of the planner, the order of plans and the load meter."""
 
 import json
 import unittest
@@ -15,7 +15,7 @@
 from briarspur.policy import Policy, compile_policy, parse_policy
 from tests.examples import small_policy
 
-SETTINGS = PlannerSettings(report_delay=1.0, settle=5.0, fresh=6.0, hold=30.0)
+SETTINGS = PlannerSettings(report_delay=1.0, settling_time=5.0, max_report_age=6.0, hold_time=30.0)
 
 
 def policy() -> Policy:
@@ -26,7 +26,7 @@
 
 
 class World:
-    """A planner fed with the load of two regions whose servers answer in 0.1 s."""
+    """A planner that receives the load of two regions whose servers respond in 0.1 s."""
 
     def __init__(self) -> None:
         self.planner = Planner("steer-1", SETTINGS)
@@ -40,7 +40,7 @@
         self.plans: list[tuple[float, PlanDocument]] = []
         self.now = 100.0
         self.number = 0
-        self.planner.begin(term=2, stored=None, now=self.now)
+        self.planner.begin_term(term=2, stored=None, now=self.now)
 
     def share(self, home: str, region: str) -> float:
         if not self.plans or home not in self.plans[-1][1].splits["times"]:
@@ -68,32 +68,32 @@
                 number=self.number,
                 services=dict.fromkeys(self.services, load),
             )
-            self.planner.reported(document, self.now)
+            self.planner.add_report(document, self.now)
 
     def run(self, seconds: int) -> None:
         for _ in range(seconds):
             self.now += 1.0
             self.report()
-            plan = self.planner.plan(self.policy, self.now)
+            plan = self.planner.next_plan(self.policy, self.now)
             if plan is not None:
                 self.plans.append((self.now, plan))
 
 
 class PlannerTest(unittest.TestCase):
-    """Steps within the caps, from measurements of their effect."""
+    """Steps stay within the caps and follow measurements of the previous step's effect."""
 
     def setUp(self) -> None:
         invariants.strict = True
         self.world = World()
 
-    def test_nothing_moves_while_all_is_well(self) -> None:
+    def test_no_plan_while_regions_serve_their_demand(self) -> None:
         self.world.run(60)
         self.assertEqual(self.world.plans, [])
 
-    def test_what_a_region_cannot_carry_moves_in_steps(self) -> None:
-        """A region stays overloaded while its neighbour idles; or the neighbour is swamped at once.
+    def test_surplus_of_a_region_moves_in_steps(self) -> None:
+        """Guards against a region that stays overloaded, and against overloading its neighbour.
 
-        Its demand rose to twice what it carries.
+        The demand of one region rises to twice its capacity while the other is idle.
         """
         self.world.demand["north"] = 90.0
         self.world.run(200)
@@ -105,16 +105,16 @@
         times = [time for time, _ in self.world.plans]
         self.assertGreaterEqual(min(b - a for a, b in pairwise(times)), 6.0)
 
-    def test_only_warm_room_is_filled(self) -> None:
+    def test_surplus_moves_only_to_warm_capacity(self) -> None:
         self.world.demand["north"] = 90.0
         self.world.warm["south"] = 2
         self.world.run(200)
         self.assertLessEqual(10.0 + 90.0 * self.world.share("north", "south"), 0.85 * 20.0 + 0.1)
 
-    def test_a_frozen_report_is_acted_on_once(self) -> None:
-        """A region empties step after step, though its first step was enough.
+    def test_repeated_reports_cause_only_one_step(self) -> None:
+        """Guards against draining a region step after step when the first step was enough.
 
-        Its reports stand still, so each step seems to have had no effect.
+        Its reports no longer change, so each step seems to have had no effect.
         """
         self.world.demand["north"] = 90.0
         self.world.run(7)
@@ -123,7 +123,7 @@
         self.world.run(25)
         self.assertEqual(len(self.world.plans), 1)
 
-    def test_missing_reports_hold_the_plan_then_give_no_more_than_the_policy(self) -> None:
+    def test_missing_reports_hold_the_plan_then_limit_the_region_to_the_policy(self) -> None:
         self.world.demand["north"] = 90.0
         self.world.run(200)
         moved = self.world.share("north", "south")
@@ -143,16 +143,16 @@
         # The cap on returns allows 10 requests in 5 s: 2 of 40 a second.
         self.assertGreaterEqual(len(self.world.plans) - before, 8)
 
-    def test_a_new_term_waits_for_the_step_before_it(self) -> None:
-        """Two steps follow each other within a second as the lease changes hands.
+    def test_a_new_term_waits_for_the_effect_of_the_previous_step(self) -> None:
+        """Guards against two steps within a second when the lease changes hands.
 
-        The new holder acts on reports from before the last step of the old one.
+        The new holder has reports that were taken before the last step of the old holder.
         """
         self.world.demand["north"] = 90.0
         self.world.run(20)
         last = self.world.plans[-1][1]
         self.world.planner = Planner("steer-2", SETTINGS)
-        self.world.planner.begin(term=3, stored=last, now=self.world.now)
+        self.world.planner.begin_term(term=3, stored=last, now=self.world.now)
         before = len(self.world.plans)
         self.world.run(5)
         self.assertEqual(len(self.world.plans), before)
@@ -164,16 +164,16 @@
             last.splits["times"]["north"].shares["south"],
         )
 
-    def test_two_services_do_not_plan_into_the_same_room(self) -> None:
-        """A region is overloaded by the step that should have relieved another.
+    def test_two_services_do_not_plan_to_use_the_same_capacity(self) -> None:
+        """Guards against overloading a region with a step that relieves another region.
 
-        Two services see the same free part of its limit in the same reports, and both move there.
+        Two services see the same free part of its limit in the same reports and both move there.
         """
         self.world.services = ("times", "booking")
         self.world.demand["north"] = 90.0
         self.world.run(60)
         self.assertGreater(len(self.world.plans), 4)
-        turns: list[str] = []
+        moved_services: list[str] = []
         for (_, one), (_, two) in pairwise(self.world.plans):
             moved = [
                 service
@@ -182,8 +182,10 @@
                 and two.splits[service]["north"] != one.splits[service].get("north")
             ]
             self.assertEqual(len(moved), 1)
-            turns += moved
-        self.assertLessEqual(abs(turns.count("times") - turns.count("booking")), 1)
+            moved_services += moved
+        self.assertLessEqual(
+            abs(moved_services.count("times") - moved_services.count("booking")), 1
+        )
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=40)
     @given(st.data())
@@ -206,15 +208,15 @@
 
 
 class PlanOrderTest(unittest.TestCase):
-    """Plans only go forward."""
+    """An older plan never replaces a newer one."""
 
     def plan(self, term: int, number: int) -> PlanDocument:
         return PlanDocument(term=term, number=number, holder="x", policy_version=1)
 
-    def test_a_paused_holders_late_plan_is_rejected(self) -> None:
-        """Traffic jumps back to where it was a minute ago.
+    def test_a_late_plan_of_a_paused_holder_is_rejected(self) -> None:
+        """Guards against traffic that reverts to an old plan.
 
-        A holder was paused past its lease and then sent the plan it had been about to send.
+        A holder is paused until its lease has expired and then sends the plan it had computed.
         """
         order = PlanOrder()
         self.assertTrue(order.accept(self.plan(2, 7)))
@@ -223,7 +225,7 @@
         self.assertFalse(order.accept(self.plan(3, 1)))
         self.assertEqual(order.rejected, 1)
 
-    def test_documents_are_checked(self) -> None:
+    def test_plan_documents_are_validated(self) -> None:
         split = PlanSplit(shares={"north": 0.5, "south": 0.5})
         plan = PlanDocument(
             term=1, number=1, holder="x", policy_version=1, splits={"times": {"north": split}}
@@ -234,9 +236,9 @@
 
 
 class LoadMeterTest(unittest.TestCase):
-    """What an entry counts, over the last window."""
+    """An entry counts requests and responses over the last window."""
 
-    def test_rates_follow_arrivals_and_their_end(self) -> None:
+    def test_rates_rise_with_arrivals_and_fall_when_they_end(self) -> None:
         meter = LoadMeter("entry-1", "a", "north")
         for n in range(100):
             meter.arrived("times", "south", n / 10)
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -22,7 +22,7 @@
 from briarspur.steerround import SteerRounds
 from tests.examples import small_policy
 
-SETTINGS = PlannerSettings(report_delay=0.5, settle=5.0, fresh=10.0, hold=60.0)
+SETTINGS = PlannerSettings(report_delay=0.5, settling_time=5.0, max_report_age=10.0, hold_time=60.0)
 
 
 @dataclass
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -178,14 +178,14 @@
         reports = [_load(number) for number in range(entries)]
         reading.append(sum(len(report.model_dump_json()) for report in reports) / 1e3)
         planner = Planner("steer-1")
-        planner.begin(1, None, 0.0)
+        planner.begin_term(1, None, 0.0)
 
         def one_round(
             planner: Planner = planner, reports: Any = reports, policy: Any = policy
         ) -> None:
             for report in reports:
-                planner.reported(report, 20.0)
-            planner.plan(policy, 20.0)
+                planner.add_report(report, 20.0)
+            planner.next_plan(policy, 20.0)
 
         planning.append(timed(one_round))
     show("planner: reports read a round, kB", "kB", ENTRIES, reading, FULL_ENTRIES)
