--- a/briarspur/follow.py
+++ b/briarspur/follow.py
@@ -14,7 +14,7 @@
 from briarspur.errors import PeerError
 from briarspur.gossip import ObjectCopy, ObjectVersion
 from briarspur.metrics import Metrics, NullMetrics
-from briarspur.spread import CallKind, Readiness, Spread, SpreadTimes, Turn
+from briarspur.propagation import CallKind, Propagation, PropagationSettings, Readiness, StoreCall
 
 __all__ = ["Follow", "ObjectPeers"]
 
@@ -61,13 +61,13 @@
         peers: ObjectPeers,
         followers: Sequence[Follower[Any]],
         rng: random.Random,
-        times: SpreadTimes | None = None,
+        times: PropagationSettings | None = None,
         sleep: Callable[[float], Coroutine[Any, Any, None]] = asyncio.sleep,
         metrics: Metrics | None = None,
     ) -> None:
         self._metrics = metrics or NullMetrics()
-        self._times = times or SpreadTimes()
-        self._spread = Spread(me, zone, len(followers), rng, self._times)
+        self._times = times or PropagationSettings()
+        self._propagation = Propagation(me, zone, len(followers), rng, self._times)
         self._store = store
         self._peers = peers
         self._followers_by_name = {follower.name: follower for follower in followers}
@@ -93,15 +93,15 @@
 
     def members_changed(self, zones_by_member: Mapping[str, str]) -> None:
         """Take the live entries and their zones."""
-        self._spread.members_changed(zones_by_member)
-        self._peer_count = len(zones_by_member.keys() - {self._spread.me})
+        self._propagation.set_members(zones_by_member)
+        self._peer_count = len(zones_by_member.keys() - {self._propagation.entry_id})
         gone = self._members_changed
         self._members_changed = asyncio.Event()
         gone.set()
 
     def watches(self, name: str) -> bool:
         """Whether this entry is one of its zone's watchers of an object."""
-        return self._spread.watches(name)
+        return self._propagation.is_watcher(name)
 
     def is_ready(self, name: str) -> bool:
         """Whether the version in force may be served by; see :class:`Readiness`.
@@ -161,7 +161,9 @@
         last: CallKind | None = None
         failures = 0
         while True:
-            turn = self._spread.turn(follower.name, follower.stored is not None, last, failures)
+            turn = self._propagation.next_call(
+                follower.name, follower.stored is not None, last, failures
+            )
             if not await self._wait_for(turn, follower.name):
                 continue
             try:
@@ -177,19 +179,19 @@
             if not brought:
                 await self._sleep(IDLE_PAUSE)
 
-    async def _wait_for(self, turn: Turn, name: str) -> bool:
+    async def _wait_for(self, turn: StoreCall, name: str) -> bool:
         """Wait for the turn; return False if this process became a watcher meanwhile."""
-        if not turn.pause:
+        if not turn.delay:
             return True
-        watched = self._spread.watches(name)
-        pause = asyncio.ensure_future(self._sleep(turn.pause))
+        watched = self._propagation.is_watcher(name)
+        pause = asyncio.ensure_future(self._sleep(turn.delay))
         changed = asyncio.ensure_future(self._members_changed.wait())
         try:
             while True:
                 await asyncio.wait([changed, pause], return_when=asyncio.FIRST_COMPLETED)
                 if pause.done():
                     return True
-                if self._spread.watches(name) and not watched:
+                if self._propagation.is_watcher(name) and not watched:
                     return False
                 changed = asyncio.ensure_future(self._members_changed.wait())
         finally:
@@ -199,7 +201,7 @@
     async def _call(self, follower: Follower[Any], kind: CallKind) -> StoredObject | None:
         if kind is CallKind.WATCH:
             newer_than = follower.seen_version
-            return await self._store.watch(follower.name, newer_than, self._times.watch_wait)
+            return await self._store.watch(follower.name, newer_than, self._times.watch_timeout)
         # A read, not a watch: it is what finds out that the watches are silently lost. The whole
         # policy each time would cost a watcher more bytes than all else together.
         found = await self._store.get_newer(follower.name, follower.seen_version)
@@ -231,7 +233,7 @@
             del wanted[peer]
         copy = self.copy(follower.name, 0)
         if copy is not None and len(copy.value) <= PUSH_BYTES:
-            for peer in self._spread.tell():
+            for peer in self._propagation.choose_push_peers():
                 self._start(self._offer(peer, copy))
         return taken
 
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -82,7 +82,7 @@
     def pause_watchers(self) -> None:
         """Suspend every watcher; the others go on counting them as live."""
         for me, follow in self.follows.items():
-            if follow._spread.watches("policy"):
+            if follow._propagation.is_watcher("policy"):
                 self.paused.add(me)
 
     def versions(self) -> set[int]:
--- a/tools/capacityfleet.py
+++ b/tools/capacityfleet.py
@@ -16,7 +16,7 @@
 from briarspur.members import MemberView, ViewedMember
 from briarspur.messages import EntryAddress
 from briarspur.peerwire import probe_from_wire, probe_to_wire, reply_from_wire, reply_to_wire
-from briarspur.spread import watchers
+from briarspur.propagation import watchers
 
 __all__ = ["HeartbeatCost", "heartbeat_cost", "policy_of", "record_bytes", "view_of"]
 
