--- a/briarspur/core.py
+++ b/briarspur/core.py
@@ -162,7 +162,7 @@
             # slots are reduced until those have reached their deadlines.
             if not self._first_assignment:
                 service = self.policy.services_by_name[own.target.service]
-                own.ramp.handover(now, now + service.longest_deadline)
+                own.ramp.handover(now, now + service.max_deadline)
         self._first_assignment = False
 
     def ready(self) -> bool:
--- a/briarspur/inquiry.py
+++ b/briarspur/inquiry.py
@@ -152,8 +152,8 @@
     if answer.get("policy_version", current.version) != current.version:
         reasons.append(f"the entry has version {answer['policy_version']}, not {current.version}")
     entries = answer.get("entries") or [{}]
-    zone = policy.entry_zones.get(str(entries[0].get("id")), "")
-    region = policy.zone_regions.get(zone, "unknown")
+    zone = policy.zone_by_entry.get(str(entries[0].get("id")), "")
+    region = policy.region_by_zone.get(zone, "unknown")
     reasons.append(f"the first entry, in region {region}, owns a target of the service there")
     for choice in region_order(policy, policy.services_by_name[service], home):
         if choice.region == region:
--- a/briarspur/node.py
+++ b/briarspur/node.py
@@ -91,7 +91,7 @@
         """The region of this entry's zone; empty until there is a policy that knows the zone."""
         if self.policy is None:
             return ""
-        return self.policy.zone_regions.get(self.settings.zone, "")
+        return self.policy.region_by_zone.get(self.settings.zone, "")
 
     # What is in force
 
@@ -102,10 +102,10 @@
         except DocumentError as error:
             return self._reject(stored, str(error))
         policy = compile_policy(document, stored.version)
-        if self.settings.zone not in policy.zone_regions:
+        if self.settings.zone not in policy.region_by_zone:
             return self._reject(stored, f"does not name this entry's zone {self.settings.zone}")
         region = self.region
-        if region and policy.zone_regions[self.settings.zone] != region:
+        if region and policy.region_by_zone[self.settings.zone] != region:
             return self._reject(stored, f"moves this entry's zone out of {region}")
         self._put_in_force(policy)
         return True
@@ -146,7 +146,7 @@
         now = self._clock.monotonic()
         self.policy = policy
         self._blocks = BlockTable.from_prefixes(policy.default_home, policy.homes_by_prefix)
-        self.pacing.policy_accepted(policy, now)
+        self.pacing.apply_policy(policy, now)
         latency_by_service = {
             name: service.objective.latency for name, service in policy.services_by_name.items()
         }
--- a/briarspur/plan.py
+++ b/briarspur/plan.py
@@ -1,4 +1,4 @@
-"""The plan: which share of each home region's callers every region serves, as steer wrote it."""
+"""The plan: the share of each home region's callers that every region serves."""
 
 from typing import Annotated
 
@@ -12,31 +12,31 @@
 __all__ = ["PLAN_NAME", "PlanDocument", "PlanOrder", "PlanSplit", "parse_plan"]
 
 PLAN_NAME = "plan"
-"""The plan's object; it is written under the lease of ``briarspur-steer`` only."""
+"""Name of the plan's object, which is written only by the holder of ``briarspur-steer``'s lease."""
 
 Share = Annotated[float, Field(ge=0.0, le=1.0)]
 
 
 class PlanSplit(Document):
-    """Where one service's callers of one home go, and what moved them last."""
+    """The split of one service's callers of one home region, and the kind of the last shift."""
 
-    shares: dict[str, Share] = Field(min_length=1, description="by region; they add up to 1")
+    shares: dict[str, Share] = Field(min_length=1, description="by region; their sum is 1")
     moved_by: MovedBy = MovedBy.PLANNED
 
 
 class PlanDocument(Document):
     """One plan.
 
-    The higher ``(term, number)`` replaces the lower: a holder whose lease lapsed while it was
-    paused has a lower term than its successor, whatever it still writes or sends.
+    A plan with a higher ``(term, number)`` replaces one with a lower. A holder whose lease expired
+    while it was paused has a lower term than its successor, whatever it still writes or sends.
     """
 
     term: int = Field(ge=0)
-    number: int = Field(ge=0, description="rises with each plan of a term")
+    number: int = Field(ge=0, description="increases with each plan of a term")
     holder: str
     policy_version: int = Field(ge=0)
     splits: dict[str, dict[str, PlanSplit]] = Field(
-        default={}, description="by service and home region; what is missing follows the policy"
+        default={}, description="by service and home region; the policy applies to those left out"
     )
 
     def as_splits(self) -> Splits:
@@ -48,37 +48,37 @@
 
 
 def parse_plan(text: str | bytes) -> PlanDocument:
-    """Check a plan.
+    """Parse and validate a plan.
 
     Raises
     ------
     DocumentError
-        With every fault found.
+        With all errors found.
     """
     return parse(PlanDocument, text, PLAN_NAME)
 
 
 class PlanOrder:
-    """Lets only newer plans come into force in one process."""
+    """Puts only newer plans into force in one process."""
 
     def __init__(self) -> None:
         self.in_force: PlanDocument | None = None
         self.rejected = 0
 
     def accept(self, plan: PlanDocument) -> bool:
-        """Take a plan if it is newer than the one in force.
+        """Put a plan into force if it is newer than the one in force; return whether it is.
 
         A plan that is replayed, or written by a holder that lost its lease, would move traffic back
-        and forth; it has a lower term or number, whichever way it came.
+        and forth. Such a plan has a lower term or number, whatever its source.
         """
-        held = self.in_force
-        if held is not None and (plan.term, plan.number) <= (held.term, held.number):
-            self.rejected += (plan.term, plan.number) < (held.term, held.number)
+        current = self.in_force
+        if current is not None and (plan.term, plan.number) <= (current.term, current.number):
+            self.rejected += (plan.term, plan.number) < (current.term, current.number)
             return False
         self.in_force = plan
         invariants.check(
             "plan.only-rises",
-            held is None or (plan.term, plan.number) > (held.term, held.number),
-            (held, plan),
+            current is None or (plan.term, plan.number) > (current.term, current.number),
+            (current, plan),
         )
         return True
--- a/briarspur/planview.py
+++ b/briarspur/planview.py
@@ -1,4 +1,4 @@
-"""The plan in the store, as operators look at it."""
+"""Reads the stored plan for the tools of operators."""
 
 from briarspur.coord.envelope import open_envelope
 from briarspur.coord.store import ObjectStore
@@ -9,12 +9,12 @@
 
 
 async def read_plan(store: ObjectStore) -> PlanDocument | None:
-    """Return the plan; None if there is none.
+    """Return the stored plan, or None if there is none.
 
     Raises
     ------
     DocumentError
-        What is stored is no plan.
+        The stored object is not a valid plan.
     """
     found = await store.get(PLAN_NAME)
     if found is None:
@@ -23,6 +23,6 @@
     if envelope.is_error():
         raise DocumentError(PLAN_NAME, [Fault("(document)", envelope.error)])
     if not envelope.ok.body:
-        # A lease's new holder fences the object off before there is a plan in it.
+        # A new lease holder fences the object before it writes the first plan.
         return None
     return parse_plan(envelope.ok.body)
--- a/briarspur/policy.py
+++ b/briarspur/policy.py
@@ -1,4 +1,4 @@
-"""The policy: the one document operators write, and the compiled form that entries decide by."""
+"""The policy: the configuration document of operators and its compiled form used by entries."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -30,7 +30,7 @@
 
 
 class TargetState(Enum):
-    """What operators say of a backend server."""
+    """Administrative state of a backend server, as set by operators."""
 
     ENTERING = "entering"
     ACTIVE = "active"
@@ -38,17 +38,19 @@
 
 
 class RegionDocument(Document):
-    """A region: its availability zones and what it can carry."""
+    """A region: its availability zones and its capacity."""
 
     zones: list[Name] = Field(min_length=1)
-    in_flight_limit: int = Field(ge=1, le=1_000_000, description="requests at once")
+    in_flight_limit: int = Field(ge=1, le=1_000_000, description="concurrent requests")
     link_bytes_per_s: int = Field(ge=1_000, le=1_000_000_000_000)
-    link_small_share: Share = Field(default=0.2, description="kept free of downloads")
-    spill_to: list[Name] = Field(default=[], description="regions to move to, nearest first")
+    link_small_share: Share = Field(
+        default=0.2, description="part of the link reserved for other than downloads"
+    )
+    spill_to: list[Name] = Field(default=[], description="regions to spill to, nearest first")
 
 
 class RuleDocument(Document):
-    """Which requests of a service belong to a class; the first rule that fits decides."""
+    """A class of requests of a service; the first matching rule applies."""
 
     methods: list[str] = Field(default=["GET", "HEAD"], min_length=1)
     path: str = Field(default="/", pattern=r"^/", description="prefix below the service's path")
@@ -58,14 +60,14 @@
 
 
 class ObjectiveDocument(Document):
-    """The service level: which share of answers must be whole and in time."""
+    """The service level: the share of responses that must be complete and in time."""
 
     good_share: float = Field(default=0.999, gt=0.0, lt=1.0)
     latency_ms: int = Field(default=500, ge=1, le=3_600_000)
 
 
 class ServiceDocument(Document):
-    """A service: its path, its classes of request and its service level."""
+    """A service: its path, its request classes and its service level."""
 
     path: str = Field(pattern=r"^/[a-z0-9/-]*$", description="prefix of the service's requests")
     rules: list[RuleDocument] = Field(min_length=1)
@@ -80,35 +82,35 @@
 
     service: Name
     zone: Name
-    host: str = Field(pattern=r"^[0-9a-fA-F.:]+$", description="an IP number")
+    host: str = Field(pattern=r"^[0-9a-fA-F.:]+$", description="an IP address")
     port: Port
-    slots: int = Field(default=3, ge=1, le=10_000, description="requests at once")
+    slots: int = Field(default=3, ge=1, le=10_000, description="concurrent requests")
     connections: int = Field(default=350, ge=1, le=100_000)
     state: TargetState = TargetState.ACTIVE
 
 
 class EntryDocument(Document):
-    """The seat of an entry: it holds a share of its region's limits."""
+    """A configured entry, which has a share of its region's limits."""
 
     zone: Name
 
 
 class CapDocument(Document):
-    """How much traffic one kind of shift may move to one region, for one service."""
+    """Cap on the traffic that one kind of shift may move to one region, for one service."""
 
     requests_per_window: int = Field(ge=0, le=100_000_000)
     window_s: float = Field(default=5.0, ge=0.1, le=3_600.0)
 
 
 class BlocksDocument(Document):
-    """Home regions of client blocks; large tables live in objects of their own."""
+    """Home regions of client address blocks; large tables are stored as separate objects."""
 
     default: Name
     by_prefix: dict[str, Name] = Field(default={}, description="IPv4 prefix to home region")
 
 
 class PolicyDocument(Document):
-    """The whole configuration in force."""
+    """The complete configuration."""
 
     user: Name
     regions: dict[Name, RegionDocument] = Field(min_length=1)
@@ -119,11 +121,11 @@
     blocks: BlocksDocument
     lookup_lifetime_s: float = Field(default=10.0, ge=1.0, le=3_600.0)
     key_lifetime_s: float = Field(default=600.0, ge=10.0, le=86_400.0)
-    retry_share: Share = Field(default=0.1, description="retries as a part of first attempts")
+    retry_share: Share = Field(default=0.1, description="retries as a share of first attempts")
 
     @model_validator(mode="after")
     def _names_are_known(self) -> Self:
-        """Refuse a document that names a region, zone or service it does not define."""
+        """Reject a document that refers to an undefined region, zone or service."""
         faults = list(_unknown_names(self))
         if faults:
             raise ValueError("; ".join(faults))
@@ -131,7 +133,7 @@
 
 
 def _unknown_names(document: PolicyDocument) -> list[str]:
-    """Return a line for each name used but not defined."""
+    """Return an error message for each name that is used but not defined."""
     zones = {zone for region in document.regions.values() for zone in region.zones}
     regions = set(document.regions)
     faults = []
@@ -158,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Region:
-    """A region as entries see it; limits are for the whole region."""
+    """A compiled region; its limits are for the whole region."""
 
     name: str
     zones: tuple[str, ...]
@@ -171,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """One class of request; ``deadline`` in seconds."""
+    """A request class; ``deadline`` in seconds."""
 
     methods: frozenset[str]
     path: str
@@ -190,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service with its rules, whose paths are whole, not below the service's."""
+    """A service with its rules, whose paths include the path of the service."""
 
     name: str
     path: str
@@ -199,8 +201,8 @@
     split_by_home: dict[str, dict[str, float]]
 
     @property
-    def longest_deadline(self) -> float:
-        """Return the longest deadline of its classes of request, in seconds."""
+    def max_deadline(self) -> float:
+        """Return the longest deadline of its request classes, in seconds."""
         return max(rule.deadline for rule in self.rules)
 
 
@@ -220,7 +222,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cap:
-    """A cap on shifts: requests in a window of ``window`` seconds, summed over all entries."""
+    """A cap on shifts: requests of all entries together in a window of ``window`` seconds."""
 
     requests: int
     window: float
@@ -228,13 +230,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """The policy in force, compiled for look-up by name.
+    """The policy, compiled for lookup by name.
 
     Attributes
     ----------
     version : int
-        The object's version in the store; it only rises within a process.
-    zone_regions : dict of str to str
+        The object's version in the store; it only increases within a process.
+    region_by_zone : dict of str to str
         The region of each availability zone.
     """
 
@@ -243,8 +245,8 @@
     regions_by_name: dict[str, Region]
     services_by_name: dict[str, Service]
     targets_by_id: dict[str, Target]
-    zone_regions: dict[str, str]
-    entry_zones: dict[str, str]
+    region_by_zone: dict[str, str]
+    zone_by_entry: dict[str, str]
     caps_by_kind: dict[MovedBy, Cap]
     default_home: str
     homes_by_prefix: dict[str, str]
@@ -253,12 +255,12 @@
     retry_share: float
 
     @property
-    def longest_deadline(self) -> float:
-        """Return the longest deadline of any class of request, in seconds."""
-        return max(service.longest_deadline for service in self.services_by_name.values())
+    def max_deadline(self) -> float:
+        """Return the longest deadline of any request class, in seconds."""
+        return max(service.max_deadline for service in self.services_by_name.values())
 
     def targets_of(self, service: str, region: str) -> list[Target]:
-        """Return the targets of a service in a region, in the order of their ids."""
+        """Return the targets of a service in a region, ordered by id."""
         found = [
             target
             for target in self.targets_by_id.values()
@@ -268,30 +270,32 @@
 
 
 def parse_policy(text: str | bytes, source: str = "policy") -> PolicyDocument:
-    """Check a policy document.
+    """Parse and validate a policy document.
 
     Raises
     ------
     DocumentError
-        With every fault found.
+        With all errors found.
     """
     return parse(PolicyDocument, text, source)
 
 
 def compile_policy(document: PolicyDocument, version: int) -> Policy:
-    """Return the compiled form of a checked document."""
-    zone_regions = {z: name for name, region in document.regions.items() for z in region.zones}
+    """Return the compiled form of a validated document."""
+    region_by_zone = {z: name for name, region in document.regions.items() for z in region.zones}
     return Policy(
         version=version,
         user=document.user,
-        regions_by_name={name: _region(name, document, zone_regions) for name in document.regions},
+        regions_by_name={
+            name: _region(name, document, region_by_zone) for name in document.regions
+        },
         services_by_name={name: _service(name, s) for name, s in document.services.items()},
         targets_by_id={
-            target_id: _target(target_id, target, zone_regions)
+            target_id: _target(target_id, target, region_by_zone)
             for target_id, target in document.targets.items()
         },
-        zone_regions=zone_regions,
-        entry_zones={entry_id: entry.zone for entry_id, entry in document.entries.items()},
+        region_by_zone=region_by_zone,
+        zone_by_entry={entry_id: entry.zone for entry_id, entry in document.entries.items()},
         caps_by_kind={
             kind: Cap(cap.requests_per_window, cap.window_s) for kind, cap in document.caps.items()
         },
@@ -303,9 +307,9 @@
     )
 
 
-def _region(name: str, document: PolicyDocument, zone_regions: dict[str, str]) -> Region:
+def _region(name: str, document: PolicyDocument, region_by_zone: dict[str, str]) -> Region:
     region = document.regions[name]
-    entry_ids = [i for i, entry in document.entries.items() if zone_regions[entry.zone] == name]
+    entry_ids = [i for i, entry in document.entries.items() if region_by_zone[entry.zone] == name]
     return Region(
         name=name,
         zones=tuple(region.zones),
@@ -333,12 +337,12 @@
     return Service(name, service.path, rules, objective, split)
 
 
-def _target(target_id: str, target: TargetDocument, zone_regions: dict[str, str]) -> Target:
+def _target(target_id: str, target: TargetDocument, region_by_zone: dict[str, str]) -> Target:
     return Target(
         target_id=target_id,
         address=TargetAddress(target_id, target.host, target.port),
         service=target.service,
-        region=zone_regions[target.zone],
+        region=region_by_zone[target.zone],
         zone=target.zone,
         slots=target.slots,
         connections=target.connections,
--- a/briarspur/routing.py
+++ b/briarspur/routing.py
@@ -50,8 +50,8 @@
         self._regions = RegionChooser(policy, self._rng, self._regions)
         region = policy.regions_by_name[self._region]
         share = base_shares(region.in_flight_limit, region.entry_ids).get(self._entry_id, 0)
-        self._placement.set_limit(share, now, EscrowSettings(max_use=policy.longest_deadline))
-        entry_ids = sorted(policy.entry_zones)
+        self._placement.set_limit(share, now, EscrowSettings(max_use=policy.max_deadline))
+        entry_ids = sorted(policy.zone_by_entry)
         caps = {
             kind.value: ShiftCap(
                 base_shares(cap.requests, entry_ids).get(self._entry_id, 0), cap.window
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -174,7 +174,7 @@
         taken_over = [own for target_id, own in times.by_id.items() if target_id not in before]
         self.assertTrue(taken_over)
         assert core.policy is not None
-        ended = 10.0 + core.policy.services_by_name["times"].longest_deadline
+        ended = 10.0 + core.policy.services_by_name["times"].max_deadline
         for own in taken_over:
             own.ramp.assume_warm()
             self.assertLess(own.ramp.limit(ended - 0.1), own.slots)
