--- a/briarspur/exchange.py
+++ b/briarspur/exchange.py
@@ -83,7 +83,7 @@
         """Learn from a peer."""
         for load in news.loads:
             if load.entry_id != self._me:
-                self._placement.loads.learn(load, now)
+                self._placement.loads.record_report(load, now)
         for verdict in news.verdicts:
             self._quarantine.merge_verdict(verdict, now)
         for notice in news.leaving:
--- a/briarspur/inflight.py
+++ b/briarspur/inflight.py
@@ -86,7 +86,7 @@
         if work.key is not None and not self._keys.mark_dispatched(work.key, attempt.attempt_id):
             self._unmake(work, attempt)
             return None
-        self._placement.loads.sent(attempt.entry_id, attempt.service)
+        self._placement.loads.record_sent(attempt.entry_id, attempt.service)
         return Forward(
             request_id=work.request.request_id,
             attempt_id=attempt.attempt_id,
@@ -159,7 +159,7 @@
         del self._work_by_attempt[attempt.attempt_id]
         work.attempt = None
         if attempt.entry_id is not None:
-            self._placement.loads.ended(attempt.entry_id, attempt.service)
+            self._placement.loads.record_ended(attempt.entry_id, attempt.service)
             return
         own = self._own_target(attempt)
         if own is not None:
--- a/briarspur/loadreport.py
+++ b/briarspur/loadreport.py
@@ -1,4 +1,4 @@
-"""What an entry tells the planner: how much came, how much runs, how much it could run warm."""
+"""Load reports of entries to the planner: demand, requests in flight and warm capacity."""
 
 from collections import defaultdict, deque
 from collections.abc import Mapping
@@ -19,35 +19,37 @@
 ]
 
 LOAD_NAME = "load"
-"""Name under which entries hand their load to peers; it is never in the store."""
+"""Object name under which peers fetch an entry's load; it is never stored."""
 
 LOAD_WINDOW_S = 5.0
-"""Seconds over which events are counted: as long as a usual window of the shift caps."""
+"""Length of the counting window: that of a usual window of the shift caps."""
 
 Rate = Annotated[float, Field(ge=0.0)]
 Count = Annotated[int, Field(ge=0)]
 
 
 class ServiceLoad(Document):
-    """One service at one entry."""
+    """Load of one service at one entry."""
 
     demand_by_home: dict[str, Rate] = Field(
-        default={}, description="first requests of callers per second, forwarded ones left out"
+        default={}, description="requests from callers per second, without forwarded requests"
     )
-    served: Rate = Field(default=0.0, description="requests per second answered by own targets")
-    in_flight: Rate = Field(default=0.0, description="slots in use, as a mean")
+    served: Rate = Field(default=0.0, description="requests per second served by own targets")
+    in_flight: Rate = Field(default=0.0, description="mean number of slots in use")
     queued: Count = 0
-    warm_slots: Count = Field(default=0, description="of own targets that take new work")
-    slots: Count = Field(default=0, description="of own targets that take new work, once warm")
+    warm_slots: Count = Field(default=0, description="of own targets that accept new requests")
+    slots: Count = Field(
+        default=0, description="of own targets that accept new requests, once warm"
+    )
 
 
 class LoadDocument(Document):
-    """One entry's load, as counted by the entry itself.
+    """Load of one entry, as counted by the entry itself.
 
     Attributes
     ----------
     number : int
-        Rises with each report of a process; tells a report that stands still from a fresh one.
+        Increases with each report of a process, and so shows whether a report is new.
     """
 
     entry_id: str
@@ -58,19 +60,19 @@
 
 
 def parse_load(text: str | bytes, source: str = LOAD_NAME) -> LoadDocument:
-    """Check a load report.
+    """Parse and validate a load report.
 
     Raises
     ------
     DocumentError
-        With every fault found.
+        With all errors found.
     """
     return parse(LoadDocument, text, source)
 
 
 @dataclass(frozen=True, slots=True)
 class SlotCount:
-    """Slots of one service at an entry's own targets that take new work, and who waits for them."""
+    """Slots of a service at own targets that accept new requests, and the queue for them."""
 
     slots: int
     warm_slots: int
@@ -78,46 +80,46 @@
 
 
 class LoadMeter:
-    """Counts an entry's events and makes its reports.
+    """Counts the events of an entry and creates its load reports.
 
     Parameters
     ----------
     entry_id, incarnation, region : str
-        The entry.
-    window : float
-        Seconds over which events are counted.
+        Identity of the entry.
+    window_s : float
+        Length of the counting window.
     """
 
     def __init__(
-        self, entry_id: str, incarnation: str, region: str, window: float = LOAD_WINDOW_S
+        self, entry_id: str, incarnation: str, region: str, window_s: float = LOAD_WINDOW_S
     ) -> None:
         self._entry_id = entry_id
         self._incarnation = incarnation
         self._region = region
-        self._number = 0
-        self._arrivals = _Windowed(window)
-        self._answers = _Windowed(window)
-        self._slot_seconds = _Windowed(window)
+        self._report_number = 0
+        self._arrivals = _WindowedSum(window_s)
+        self._responses = _WindowedSum(window_s)
+        self._slot_seconds = _WindowedSum(window_s)
 
-    def arrived(self, service: str, home: str, now: float) -> None:
-        """Count a caller's request that came here first; not one that an entry sent on."""
+    def record_arrival(self, service: str, home: str, now: float) -> None:
+        """Count a request that came from a caller, not forwarded by another entry."""
         self._arrivals.add((service, home), 1.0, now)
 
-    def answered(self, service: str, latency: float, now: float) -> None:
-        """Count a whole answer of an own target; ``latency`` in seconds."""
-        self._answers.add((service,), 1.0, now)
+    def record_response(self, service: str, latency: float, now: float) -> None:
+        """Count a complete response of an own target; ``latency`` in seconds."""
+        self._responses.add((service,), 1.0, now)
         self._slot_seconds.add((service,), latency, now)
 
-    def document(self, slots_by_service: Mapping[str, SlotCount], now: float) -> LoadDocument:
-        """Return the next report."""
-        self._number += 1
+    def next_report(self, slots_by_service: Mapping[str, SlotCount], now: float) -> LoadDocument:
+        """Return the next load report."""
+        self._report_number += 1
         arrivals = self._arrivals.rates(now)
-        answers = self._answers.rates(now)
+        responses = self._responses.rates(now)
         busy = self._slot_seconds.rates(now)
         services = {
             service: ServiceLoad(
                 demand_by_home={home: rate for (s, home), rate in arrivals.items() if s == service},
-                served=answers.get((service,), 0.0),
+                served=responses.get((service,), 0.0),
                 in_flight=busy.get((service,), 0.0),
                 queued=count.queued,
                 warm_slots=count.warm_slots,
@@ -129,20 +131,20 @@
             entry_id=self._entry_id,
             incarnation=self._incarnation,
             region=self._region,
-            number=self._number,
+            number=self._report_number,
             services=services,
         )
 
 
-class _Windowed:
-    """Sums by key over the last window, in parts, so that a reading is at most a part old."""
+class _WindowedSum:
+    """Sums by key over the last window, in buckets; a result is at most one bucket old."""
 
-    def __init__(self, window: float, parts: int = 5) -> None:
-        self._part = window / parts
-        self._window = window
-        self._sums: deque[defaultdict[tuple[str, ...], float]] = deque(maxlen=parts)
+    def __init__(self, window_s: float, buckets: int = 5) -> None:
+        self._bucket_s = window_s / buckets
+        self._window_s = window_s
+        self._sums: deque[defaultdict[tuple[str, ...], float]] = deque(maxlen=buckets)
         self._current: defaultdict[tuple[str, ...], float] = defaultdict(float)
-        self._ends = 0.0
+        self._bucket_end = 0.0
 
     def add(self, key: tuple[str, ...], amount: float, now: float) -> None:
         self._advance(now)
@@ -153,15 +155,15 @@
         total: dict[tuple[str, ...], float] = {}
         for sums in self._sums:
             for key, amount in sums.items():
-                total[key] = total.get(key, 0.0) + amount / self._window
+                total[key] = total.get(key, 0.0) + amount / self._window_s
         return total
 
     def _advance(self, now: float) -> None:
-        if now >= self._ends + self._window:
+        if now >= self._bucket_end + self._window_s:
             self._sums.clear()
             self._current = defaultdict(float)
-            self._ends = now + self._part
-        while now >= self._ends:
+            self._bucket_end = now + self._bucket_s
+        while now >= self._bucket_end:
             self._sums.append(self._current)
             self._current = defaultdict(float)
-            self._ends += self._part
+            self._bucket_end += self._bucket_s
--- a/briarspur/lookup.py
+++ b/briarspur/lookup.py
@@ -107,7 +107,7 @@
         members = self._view.serving(region)
         if not targets or not members:
             return []
-        owned = self._rule.entries_of(targets, members)
+        owned = self._rule.targets_by_entry(targets, members)
         return [entry_id for entry_id in sorted(owned) for _ in owned[entry_id]]
 
     def _make(self, service: str, home: str, first: str, wall: float) -> bytes:
--- a/briarspur/node.py
+++ b/briarspur/node.py
@@ -215,7 +215,7 @@
         service = self._service_of(request.path)
         if service:
             home = self._blocks.home(request.block)
-            self._meter.arrived(service, home, self._clock.monotonic())
+            self._meter.record_arrival(service, home, self._clock.monotonic())
 
     def answered(self, request: Request, region: str, code: Code, seconds: float) -> None:
         """Count a final answer; log it if it is not the service's own."""
@@ -225,7 +225,7 @@
             return
         service = self._service_of(request.path)
         if service and region and code is Code.ANSWERED:
-            self._meter.answered(service, seconds, self._clock.monotonic())
+            self._meter.record_response(service, seconds, self._clock.monotonic())
         if request.forwarded_by is not None:
             return
         self._metrics.count("answers", code.name)
@@ -310,7 +310,7 @@
             service: _slot_count(targets, self.core.placement.queue_length(service), now)
             for service, targets in self.core.placement.targets_by_service.items()
         }
-        return self._meter.document(counts, now).model_dump_json().encode()
+        return self._meter.next_report(counts, now).model_dump_json().encode()
 
     def _drains(self, now: float) -> list[DrainStatus]:
         if self.core is None:
--- a/briarspur/ownership.py
+++ b/briarspur/ownership.py
@@ -1,4 +1,4 @@
-"""Which entry dispatches to which backend server."""
+"""Assigns the slots of backend servers to the entries that dispatch to them."""
 
 from collections.abc import Mapping, Sequence
 from functools import lru_cache
@@ -9,17 +9,17 @@
 
 __all__ = ["OwnerSlots", "SlotRule"]
 
-MOST_FLOWS = 256
-"""Owner maps kept: one for each service and region, and some former ones."""
+MAX_CACHED_MAPS = 256
+"""Cached owner maps: one for each service and region, and some previous ones."""
 
 
 class SlotRule(Protocol):
-    """How the slots of targets are given to the entries of their region."""
+    """Rule that assigns the slots of targets to the entries of their region."""
 
     def slots_by_target(
-        self, targets: Sequence[Target], members: Sequence[str], me: str
+        self, targets: Sequence[Target], members: Sequence[str], entry_id: str
     ) -> dict[str, int]:
-        """Return how many slots of each target the entry ``me`` may use; none is left out.
+        """Return the slots of each target that an entry may use, leaving out targets without any.
 
         Parameters
         ----------
@@ -29,42 +29,50 @@
             Live entries of that region.
         """
 
-    def entries_of(self, targets: Sequence[Target], members: Sequence[str]) -> dict[str, list[str]]:
-        """Return the ids of the targets each entry may dispatch to, by entry."""
+    def targets_by_entry(
+        self, targets: Sequence[Target], members: Sequence[str]
+    ) -> dict[str, list[str]]:
+        """Return the ids of the targets that each entry may dispatch to, by entry."""
 
 
 class OwnerSlots:
-    """Each target has one owner, which alone dispatches to it.
+    """Assigns each target to one owner, the only entry that dispatches to it.
 
     The owner therefore knows the target's in-flight count without any measurement. Owners are
-    found by rendezvous hashing with a bounded load, so every entry with the same view of the
-    members names the same owner without asking.
+    computed by rendezvous hashing with bounded loads, so that entries with the same view of the
+    members agree on the owner without communication.
 
-    Maps are kept, since a change in one region leaves those of the others as they are, and a map
-    of a large region takes milliseconds to work out.
+    Maps are cached, since a change in one region doesn't affect those of other regions, and
+    computing the map of a large region takes milliseconds.
     """
 
     def __init__(self) -> None:
-        self._map_of = lru_cache(MOST_FLOWS)(_owner_by_target)
+        self._cached_owner_map = lru_cache(MAX_CACHED_MAPS)(_owner_by_target)
 
     def slots_by_target(
-        self, targets: Sequence[Target], members: Sequence[str], me: str
+        self, targets: Sequence[Target], members: Sequence[str], entry_id: str
     ) -> dict[str, int]:
-        """Return all slots of the targets that ``me`` owns."""
-        owners = self._owners(targets, members)
+        """Return the slots of the targets that an entry owns, by target."""
+        owners = self._owners_by_target(targets, members)
         return {
-            target.target_id: target.slots for target in targets if owners[target.target_id] == me
+            target.target_id: target.slots
+            for target in targets
+            if owners[target.target_id] == entry_id
         }
 
-    def entries_of(self, targets: Sequence[Target], members: Sequence[str]) -> dict[str, list[str]]:
-        """Return the owned targets by owner."""
+    def targets_by_entry(
+        self, targets: Sequence[Target], members: Sequence[str]
+    ) -> dict[str, list[str]]:
+        """Return the ids of the owned targets by owner."""
         by_entry: dict[str, list[str]] = {}
-        for target_id, owner in self._owners(targets, members).items():
+        for target_id, owner in self._owners_by_target(targets, members).items():
             by_entry.setdefault(owner, []).append(target_id)
         return by_entry
 
-    def _owners(self, targets: Sequence[Target], members: Sequence[str]) -> Mapping[str, str]:
-        return self._map_of(tuple(target.target_id for target in targets), tuple(members))
+    def _owners_by_target(
+        self, targets: Sequence[Target], members: Sequence[str]
+    ) -> Mapping[str, str]:
+        return self._cached_owner_map(tuple(target.target_id for target in targets), tuple(members))
 
 
 def _owner_by_target(target_ids: tuple[str, ...], members: tuple[str, ...]) -> Mapping[str, str]:
--- a/briarspur/placement.py
+++ b/briarspur/placement.py
@@ -8,7 +8,7 @@
 from briarspur.codes import Code
 from briarspur.coord.escrow import Account, EscrowSettings
 from briarspur.coord.outlier import OutlierDetector
-from briarspur.loads import LoadReport, Loads
+from briarspur.loads import LoadEstimates, LoadReport
 from briarspur.members import MemberView, ViewedMember
 from briarspur.messages import Priority
 from briarspur.ownership import SlotRule
@@ -97,7 +97,7 @@
     ) -> None:
         self.region = region
         self.account = Account(f"in-flight/{region}", 0)
-        self.loads = Loads()
+        self.loads = LoadEstimates()
         self.targets_by_service: dict[str, OwnTargets] = {}
         self.outliers_by_service: dict[str, OutlierDetector] = {}
         self._entry_id = entry_id
@@ -159,7 +159,7 @@
         members = view.serving(region)
         if not targets or not members:
             return []
-        owned = self._rule.entries_of(targets, members)
+        owned = self._rule.targets_by_entry(targets, members)
         return [view.by_id[entry_id] for entry_id in sorted(owned)]
 
     def is_usable(self, service: str, region: str) -> bool:
@@ -169,7 +169,7 @@
     def has_room(self, service: str, region: str, now: float) -> bool:
         """Return whether another entry there is estimated to have a free slot for the service."""
         return any(
-            self.loads.free(member.address.entry_id, service, now) > 0
+            self.loads.free_slots(member.address.entry_id, service, now) > 0
             for member in self._owners_by_flow.get((service, region), [])
             if member.address.entry_id != self._entry_id
         )
@@ -234,7 +234,7 @@
         )
 
     def _estimated_free_slots(self, member: ViewedMember, work: Work, now: float) -> float:
-        return self.loads.free(member.address.entry_id, work.service.name, now)
+        return self.loads.free_slots(member.address.entry_id, work.service.name, now)
 
     def _may_queue(self, work: Work, now: float) -> bool:
         """Return whether a request that waits here is likely to finish before its deadline.
--- a/standins/alternatives.py
+++ b/standins/alternatives.py
@@ -27,12 +27,14 @@
     """Every entry of a region may use every slot of its targets."""
 
     def slots_by_target(
-        self, targets: Sequence[Target], members: Sequence[str], me: str
+        self, targets: Sequence[Target], members: Sequence[str], entry_id: str
     ) -> dict[str, int]:
         """Return all slots."""
         return {target.target_id: target.slots for target in targets}
 
-    def entries_of(self, targets: Sequence[Target], members: Sequence[str]) -> dict[str, list[str]]:
+    def targets_by_entry(
+        self, targets: Sequence[Target], members: Sequence[str]
+    ) -> dict[str, list[str]]:
         """Return every target for every entry."""
         return {entry_id: [target.target_id for target in targets] for entry_id in members}
 
@@ -41,17 +43,19 @@
     """The slots of a service are dealt out evenly, once, to the entries of the region."""
 
     def slots_by_target(
-        self, targets: Sequence[Target], members: Sequence[str], me: str
+        self, targets: Sequence[Target], members: Sequence[str], entry_id: str
     ) -> dict[str, int]:
-        """Return the slots dealt to ``me``."""
+        """Return the slots dealt to ``entry_id``."""
         dealt = {target.target_id: 0 for target in targets}
         slots = [target.target_id for target in targets for _ in range(target.slots)]
         for number, target_id in enumerate(slots):
-            if members[number % len(members)] == me:
+            if members[number % len(members)] == entry_id:
                 dealt[target_id] += 1
         return {target_id: count for target_id, count in dealt.items() if count}
 
-    def entries_of(self, targets: Sequence[Target], members: Sequence[str]) -> dict[str, list[str]]:
+    def targets_by_entry(
+        self, targets: Sequence[Target], members: Sequence[str]
+    ) -> dict[str, list[str]]:
         """Return the targets each entry has a slot of."""
         return {
             entry_id: sorted(dealt)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -241,15 +241,15 @@
     def test_rates_rise_with_arrivals_and_fall_when_they_end(self) -> None:
         meter = LoadMeter("entry-1", "a", "north")
         for n in range(100):
-            meter.arrived("times", "south", n / 10)
-            meter.answered("times", 0.2, n / 10)
+            meter.record_arrival("times", "south", n / 10)
+            meter.record_response("times", 0.2, n / 10)
         slots = {"times": SlotCount(slots=6, warm_slots=3, queued=1)}
-        first = meter.document(slots, 10.0)
+        first = meter.next_report(slots, 10.0)
         load = first.services["times"]
         self.assertAlmostEqual(load.demand_by_home["south"], 10.0)
         self.assertAlmostEqual(load.served, 10.0)
         self.assertAlmostEqual(load.in_flight, 2.0)
-        later = meter.document(slots, 30.0)
+        later = meter.next_report(slots, 30.0)
         self.assertEqual(later.services["times"].demand_by_home, {})
         self.assertGreater(later.number, first.number)
         self.assertEqual(parse_load(later.model_dump_json()), later)
