--- a/briarspur/blocks.py
+++ b/briarspur/blocks.py
@@ -1,4 +1,4 @@
-"""Blocks of clients: a sorted table from the first address of each block to its home region."""
+"""Client address blocks: a sorted table that maps each block to its home region."""
 
 import ipaddress
 from array import array
@@ -14,7 +14,7 @@
 def parse_block(text: str) -> int | None:
     """Return the block number of an address; None if the text is not an address.
 
-    An IPv4 address is its own number; of an IPv6 address the first 32 bits count.
+    The number of an IPv4 address is its integer value, that of an IPv6 address its first 32 bits.
     """
     try:
         address = ipaddress.ip_address(text)
@@ -25,14 +25,14 @@
 
 
 class BlockTable:
-    """Home regions by block, six bytes a block.
+    """Home regions by block, in six bytes per block.
 
     Parameters
     ----------
     starts : array of 'I'
-        First address of each block, rising, the first one 0.
+        First address of each block, in ascending order; the first is 0.
     homes : array of 'H'
-        Index into ``names`` for each block.
+        Index into ``names`` of each block's home region.
     names : list of str
         Region names.
     """
@@ -51,14 +51,14 @@
 
     @classmethod
     def from_prefixes(cls, default: str, homes_by_prefix: Mapping[str, str]) -> "BlockTable":
-        """Build a table from IPv4 prefixes; the longer prefix wins inside a shorter one."""
+        """Build a table from IPv4 prefixes; the longest matching prefix applies."""
         networks = [(ipaddress.IPv4Network(p), home) for p, home in homes_by_prefix.items()]
         networks.sort(key=lambda item: (int(item[0].network_address), item[0].prefixlen))
         return cls.from_runs(_runs(default, networks))
 
     @classmethod
     def from_runs(cls, runs: Iterable[tuple[int, str]]) -> "BlockTable":
-        """Build a table from (first address, home) pairs in rising order, the first address 0."""
+        """Build a table from (first address, home) pairs in ascending order, starting at 0."""
         starts, homes = array("I"), array("H")
         index_by_name: dict[str, int] = {}
         for start, home in runs:
@@ -70,22 +70,22 @@
 def _runs(
     default: str, networks: list[tuple[ipaddress.IPv4Network, str]]
 ) -> Iterable[tuple[int, str]]:
-    """Flatten nested prefixes, sorted by address, into runs of one home each."""
+    """Flatten nested prefixes, sorted by address, into runs of addresses with the same home."""
     home_by_start = {0: default}
     enclosing: list[tuple[int, str]] = []
     for network, home in networks:
         first = int(network.network_address)
-        _close_before(first, enclosing, default, home_by_start)
+        _end_prefixes_before(first, enclosing, default, home_by_start)
         home_by_start[first] = home
         enclosing.append((int(network.broadcast_address), home))
-    _close_before(LAST_ADDRESS + 1, enclosing, default, home_by_start)
+    _end_prefixes_before(LAST_ADDRESS + 1, enclosing, default, home_by_start)
     return sorted((start, home) for start, home in home_by_start.items() if start <= LAST_ADDRESS)
 
 
-def _close_before(
+def _end_prefixes_before(
     first: int, enclosing: list[tuple[int, str]], default: str, home_by_start: dict[int, str]
 ) -> None:
-    """End the prefixes that lie wholly before ``first``; what encloses them goes on after them."""
+    """End the prefixes that lie before ``first``, resuming their enclosing prefixes after them."""
     while enclosing and enclosing[-1][0] < first:
         last, _ = enclosing.pop()
         home_by_start[last + 1] = enclosing[-1][1] if enclosing else default
--- a/briarspur/node.py
+++ b/briarspur/node.py
@@ -259,7 +259,7 @@
         now = self._clock.monotonic()
         self._leaving_seen_by_target.setdefault(target_id, now)
         if self.core is not None:
-            self.core.exchange.target_leaving(target_id, now, now)
+            self.core.exchange.record_leaving(target_id, now, now)
 
     # What the entry says of itself
 
--- a/briarspur/peering.py
+++ b/briarspur/peering.py
@@ -292,7 +292,7 @@
         return Gossip(updates, self._follow.versions(), news)
 
     def _heard(self, sender: str, gossip: Gossip) -> None:
-        self._core.exchange.heard(gossip.news, self._clock())
+        self._core.exchange.record_news(gossip.news, self._clock())
         self._show_view_in_time(sender)
         self._follow.heard(sender, gossip.objects)
         member = self._membership.member(sender)
@@ -319,7 +319,7 @@
 
     def _borrow(self, now: float) -> None:
         view = self._core.view
-        wanted = self._core.exchange.borrow_wanted(view, self._rng, now)
+        wanted = self._core.exchange.next_borrow_request(view, self._rng, now)
         if wanted is None or wanted.entry_id not in view.by_id:
             return
         address = view.by_id[wanted.entry_id].address
@@ -332,7 +332,7 @@
                 granted = await self._client.borrow(Address(address.host, address.peer_port), asked)
             except PeerError:
                 return
-            self._core.exchange.borrowed(wanted, granted)
+            self._core.exchange.add_borrowed(wanted, granted)
 
         self._start(ask())
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -144,7 +144,7 @@
         """A server that stops by itself goes on getting timetables, or never gets any again."""
         core = make_core("entry-1", random.Random(1))
         for target_id in core.placement.targets_by_service["times"].by_id:
-            core.exchange.target_leaving(target_id, 0.0, 0.0)
+            core.exchange.record_leaving(target_id, 0.0, 0.0)
         self.assertNotIsInstance(self.asked(core, 1.0)[0], Dispatch)
         self.assertIsInstance(self.asked(core, LEAVING_LIFETIME_S + 1.0)[0], Dispatch)
 
@@ -152,7 +152,7 @@
         core = make_core("entry-1", random.Random(1))
         ids = core.placement.targets_by_service["times"].by_id
         notices = tuple(LeavingNotice(target_id, 0.5) for target_id in ids)
-        core.exchange.heard(News(leaving=notices), 1.0)
+        core.exchange.record_news(News(leaving=notices), 1.0)
         self.assertNotIsInstance(self.asked(core, 1.0)[0], Dispatch)
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Tests of pacing on the links."""
+"""Tests of the link pacer."""
 
 import unittest
 
@@ -12,8 +12,8 @@
 CHUNK = 65_536
 
 
-def sent_in(pacer: LinkPacer, priority: Priority, seconds: float) -> int:
-    """Return the bytes of a sender that pauses as it is told, without any delay of its own."""
+def bytes_sent(pacer: LinkPacer, priority: Priority, seconds: float) -> int:
+    """Return the bytes sent by a sender that only pauses as the pacer requires."""
     now, sent = 0.0, 0
     while now < seconds:
         sent += CHUNK
@@ -24,18 +24,18 @@
 class LinkPacerTest(unittest.TestCase):
     """An entry stays within its share of a link."""
 
-    def test_downloads_leave_the_small_part_free(self) -> None:
-        """Travellers wait for a timetable behind a chart pack.
+    def test_downloads_leave_the_reserved_part_free(self) -> None:
+        """Guards against small responses that wait behind downloads.
 
-        Downloads fill the link of the harbour's region; a small answer must not wait for them.
+        Downloads use all of a region's link that they may; a small response must not be delayed.
         """
         pacer = LinkPacer(RATE, 0.2, 0.0)
-        sent = sent_in(pacer, Priority.DOWNLOAD, 10.0)
+        sent = bytes_sent(pacer, Priority.DOWNLOAD, 10.0)
         self.assertLessEqual(sent, RATE * 0.8 * (10.0 + BURST_S) + CHUNK)
         self.assertEqual(pacer.charge(Priority.INTERACTIVE, 10_000, 10.0), 0.0)
 
-    def test_small_answers_may_use_the_whole_rate_and_no_more(self) -> None:
-        sent = sent_in(LinkPacer(RATE, 0.2, 0.0), Priority.INTERACTIVE, 10.0)
+    def test_small_responses_may_use_the_full_rate_but_no_more(self) -> None:
+        sent = bytes_sent(LinkPacer(RATE, 0.2, 0.0), Priority.INTERACTIVE, 10.0)
         self.assertLessEqual(sent, RATE * (10.0 + BURST_S) + CHUNK)
         self.assertGreater(sent, RATE * 9.0)
 
@@ -48,7 +48,7 @@
             now += pacer.charge(priority, size, now)
         self.assertLessEqual(sent, RATE * (now + BURST_S) + CHUNK)
 
-    def test_a_smaller_share_counts_at_once(self) -> None:
+    def test_a_lower_rate_applies_to_the_existing_backlog(self) -> None:
         pacer = LinkPacer(RATE, 0.2, 0.0)
         pacer.charge(Priority.DOWNLOAD, 1_000_000, 0.0)
         pacer.set_rate(RATE / 10, 0.2, 0.0)
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -34,7 +34,7 @@
     def news(self, now: float) -> News:
         return News()
 
-    def heard(self, news: News, now: float) -> None:
+    def record_news(self, news: News, now: float) -> None:
         pass
 
 
