--- a/tests/test_limit_stories.py
+++ b/tests/test_limit_scenarios.py
@@ -1,4 +1,4 @@
-"""Stories of overload and of shifts over several cores: limits and caps hold through each."""
+"""Scenarios of overload and shifts with several cores, in which limits and caps must hold."""
 
 import random
 import unittest
@@ -19,51 +19,51 @@
 
 
 class Traffic:
-    """Callers of both regions at fixed rates, and backend servers that answer after a while.
+    """Callers of both regions at fixed rates, and backend servers that respond after a delay.
 
     Attributes
     ----------
-    away_by_window : dict of int to Counter
-        Requests handed to backend servers outside their home, by home and region.
+    shifted_by_window : dict of int to Counter
+        Requests dispatched outside their home region, by home and region in each window.
     """
 
-    def __init__(self, per_step: dict[str, float]) -> None:
+    def __init__(self, calls_per_step: dict[str, float]) -> None:
         self.world = World(random.Random(7))
         self.world.start()
-        self.per_step = per_step
-        self.away_by_window: dict[int, Counter[tuple[str, str]]] = {}
-        self.most_in_flight: Counter[str] = Counter()
-        self._due = dict.fromkeys(per_step, 0.0)
-        self._ends: list[tuple[float, Run]] = []
-        self._seen: set[tuple[str, int]] = set()
+        self.calls_per_step = calls_per_step
+        self.shifted_by_window: dict[int, Counter[tuple[str, str]]] = {}
+        self.max_in_flight: Counter[str] = Counter()
+        self._calls_due = dict.fromkeys(calls_per_step, 0.0)
+        self._pending_ends: list[tuple[float, Run]] = []
+        self._seen_attempts: set[tuple[str, int]] = set()
         self._home_by_call: dict[str, str] = {}
 
     def run(self, seconds: float, path: str = "times") -> None:
-        """Let time pass with callers arriving."""
+        """Advance the time while callers send requests."""
         for _ in range(round(seconds / STEP_S)):
             self.step(path)
 
     def step(self, path: str = "times") -> None:
-        """One step of time; what is sent in it is delivered in it."""
+        """Advance by one time step, delivering all messages that are sent in it."""
         world = self.world
-        for home, rate in self.per_step.items():
-            self._due[home] += rate
-            while self._due[home] >= 1.0:
-                self._due[home] -= 1.0
+        for home, rate in self.calls_per_step.items():
+            self._calls_due[home] += rate
+            while self._calls_due[home] >= 1.0:
+                self._calls_due[home] -= 1.0
                 self._call(home)
         while world.hops:
             world.deliver(0)
-        self._note_runs()
-        for end, run in list(self._ends):
+        self._record_runs()
+        for end, run in list(self._pending_ends):
             if end <= world.now:
-                self._ends.remove((end, run))
+                self._pending_ends.remove((end, run))
                 if run in world.runs:
                     world.finish_run(world.runs.index(run), "answer")
         while world.hops:
             world.deliver(0)
-        self._note_runs()
+        self._record_runs()
         world.advance(STEP_S)
-        self._note_runs()
+        self._record_runs()
 
     def _call(self, home: str) -> None:
         entries = NORTH_ENTRIES if home == "north" else SOUTH_ENTRIES
@@ -73,58 +73,58 @@
         call = self.world.call(entry, None, self.world.calls, block)
         self._home_by_call[call] = home
 
-    def _note_runs(self) -> None:
+    def _record_runs(self) -> None:
         world = self.world
         for run in world.runs:
             attempt = (run.incarnation, run.attempt_id)
-            if attempt in self._seen:
+            if attempt in self._seen_attempts:
                 continue
-            self._seen.add(attempt)
-            self._ends.append((world.now + RUN_S, run))
+            self._seen_attempts.add(attempt)
+            self._pending_ends.append((world.now + RUN_S, run))
             call = run.request_id
-            home = self._home_by_call.get(call) or self._home_of_forward(run)
+            home = self._home_by_call.get(call) or self._home_of_forwarded(run)
             if home != run.region:
                 window = int(world.now / WINDOW_S)
-                self.away_by_window.setdefault(window, Counter())[home, run.region] += 1
+                self.shifted_by_window.setdefault(window, Counter())[home, run.region] += 1
         for region in ("north", "south"):
-            self.most_in_flight[region] = max(self.most_in_flight[region], world.in_flight(region))
+            self.max_in_flight[region] = max(self.max_in_flight[region], world.in_flight(region))
 
-    def _home_of_forward(self, run: Run) -> str:
+    def _home_of_forwarded(self, run: Run) -> str:
         hop = self.world.hop_by_request[run.entry, run.request_id]
         return "south" if hop.request.block == SOUTH_BLOCK else "north"
 
 
-class LimitStoriesTest(unittest.TestCase):
-    """What must hold: in-flight within the limit, moves within the caps, finals at once."""
+class LimitScenariosTest(unittest.TestCase):
+    """In-flight requests stay within limits, shifts within caps; refusals are immediate."""
 
     def setUp(self) -> None:
         invariants.strict = True
 
-    def check(self, traffic: Traffic) -> None:
+    def check_limits(self, traffic: Traffic) -> None:
         world = traffic.world
         assert world.policy is not None
         for name, region in world.policy.regions_by_name.items():
-            self.assertLessEqual(traffic.most_in_flight[name], region.in_flight_limit)
+            self.assertLessEqual(traffic.max_in_flight[name], region.in_flight_limit)
         caps = world.policy.caps_by_kind
         cap = caps[MovedBy.PLANNED].requests + caps[MovedBy.EMERGENCY].requests
-        for window, away in traffic.away_by_window.items():
-            before = traffic.away_by_window.get(window - 1, Counter())
-            for flow, count in away.items():
+        for window, shifted in traffic.shifted_by_window.items():
+            before = traffic.shifted_by_window.get(window - 1, Counter())
+            for flow, count in shifted.items():
                 self.assertLessEqual(count, before[flow] + cap, (window, flow))
         for code in world.finals.values():
             info = CODES[code]
             if info.ran is Ran.NO and code is not Code.NO_TARGET:
                 self.assertIs(info.repeat, Repeat.AFTER_RETRY_AFTER)
 
-    def settle(self, traffic: Traffic) -> None:
-        traffic.per_step = {}
+    def drain(self, traffic: Traffic) -> None:
+        traffic.calls_per_step = {}
         traffic.run(5.0)
         self.assertEqual(traffic.world.open_calls, {})
 
     def test_a_region_is_lost_under_load(self) -> None:
-        """Callers of a lost region make the other one slow for its own callers.
+        """Guards against callers of a lost region slowing the other region for its own callers.
 
-        Both run at four fifths of their limits when all entries and servers of one region die.
+        Both run at four fifths of their limits when all entries and servers of one region crash.
         """
         traffic = Traffic({"north": 2.4, "south": 2.4})
         traffic.run(10.0)
@@ -132,19 +132,20 @@
             traffic.world.kill(entry)
         traffic.world.tell_views()
         traffic.run(30.0)
-        self.check(traffic)
-        moved = traffic.away_by_window[max(traffic.away_by_window)]["north", "south"]
+        self.check_limits(traffic)
+        moved = traffic.shifted_by_window[max(traffic.shifted_by_window)]["north", "south"]
         self.assertGreater(moved, 0, "callers of the lost region are served elsewhere")
-        self.settle(traffic)
+        self.drain(traffic)
 
-    def test_a_burst_is_refused_at_once_and_bookings_go_on(self) -> None:
-        """A fare alliance asks ten times as often as usual, and bookings time out.
+    def test_a_burst_is_refused_at_once_and_bookings_continue(self) -> None:
+        """Guards against bookings that time out during a burst of other requests.
 
-        Its requests fill queues and slots that bookings need.
+        A customer sends ten times its usual rate, which fills the queues and slots that bookings
+        need.
         """
         traffic = Traffic({"north": 1.0, "south": 1.0})
         traffic.run(5.0)
-        traffic.per_step = {"north": 30.0, "south": 30.0}
+        traffic.calls_per_step = {"north": 30.0, "south": 30.0}
         traffic.run(3.0)
         keys = []
         for n in range(10):
@@ -154,16 +155,16 @@
             keys.append(key)
             traffic.world.call(entry, key, n)
             traffic.step()
-        self.settle(traffic)
-        self.check(traffic)
+        self.drain(traffic)
+        self.check_limits(traffic)
         self.assertEqual([traffic.world.ledger[key] for key in keys], [1] * 10)
         refused = [c for c in traffic.world.finals.values() if CODES[c].ran is Ran.NO]
         self.assertGreater(len(refused), 100)
 
-    def test_a_plan_is_replayed_and_doubled(self) -> None:
-        """Traffic swings between regions with each window.
+    def test_plans_are_replayed_and_duplicated(self) -> None:
+        """Guards against traffic that swings between regions in each window.
 
-        An old plan and a new one reach the entries by turns, again and again.
+        An old plan and a new one repeatedly reach the entries in alternation.
         """
         traffic = Traffic({"north": 4.0, "south": 1.0})
         traffic.run(10.0)
@@ -173,31 +174,31 @@
             for core in traffic.world.cores.values():
                 core.plan_accepted(splits)
             traffic.run(3.0)
-        self.check(traffic)
-        self.settle(traffic)
+        self.check_limits(traffic)
+        self.drain(traffic)
 
-    def test_an_entry_is_cut_off_from_its_peers(self) -> None:
-        """A region gets more requests than it carries while two of its entries are apart.
+    def test_an_entry_is_partitioned_from_its_peers(self) -> None:
+        """Guards against overloading a region while two of its entries are partitioned.
 
-        Each sees the other as gone and takes its servers over, while the store is up.
+        Each regards the other as gone and takes over its servers, while the store is available.
         """
         traffic = Traffic({"north": 4.0, "south": 1.0})
         traffic.run(5.0)
         world = traffic.world
         view = world.true_view().by_id
         for entry, other in (NORTH_ENTRIES, NORTH_ENTRIES[::-1]):
-            alone = MemberView({name: m for name, m in view.items() if name != other})
-            world.carry_out(entry, world.cores[entry].view_changed(alone, world.now))
+            isolated_view = MemberView({name: m for name, m in view.items() if name != other})
+            world.carry_out(entry, world.cores[entry].view_changed(isolated_view, world.now))
         traffic.run(15.0)
         world.tell_views()
         traffic.run(10.0)
-        self.check(traffic)
-        self.settle(traffic)
+        self.check_limits(traffic)
+        self.drain(traffic)
 
     def test_links_between_regions_are_cut_and_restored(self) -> None:
-        """A region that is back gets all its callers in one second, with its caches cold.
+        """Guards against a region that gets all its callers back in one second, with cold caches.
 
-        Its entries saw nothing of the other region for a while; then all saw one another again.
+        The entries of the two regions can't reach one another for a while, then can again.
         """
         traffic = Traffic({"north": 2.4, "south": 2.4})
         traffic.run(10.0)
@@ -210,5 +211,5 @@
             world.start_entry(entry)
         world.tell_views()
         traffic.run(20.0)
-        self.check(traffic)
-        self.settle(traffic)
+        self.check_limits(traffic)
+        self.drain(traffic)
