--- a/briarspur/routing.py
+++ b/briarspur/routing.py
@@ -133,7 +133,7 @@
         return self._spill(work, now) or placed
 
     def _spill(self, work: Work, now: float) -> PlacementResult | None:
-        """Move a request that its region refused to the nearest region with estimated room."""
+        """Move a request from the region that refused it to the nearest one with room."""
         assert self._regions is not None
         service, refused_in = work.service.name, work.region
         for region in self._regions.spill_order(work.home):
