--- a/briarspur/node.py
+++ b/briarspur/node.py
@@ -91,7 +91,7 @@
         """The region of this entry's zone; empty until there is a policy that knows the zone."""
         if self.policy is None:
             return ""
-        return self.policy.zone_regions.get(self.settings.zone, "")
+        return self.policy.region_by_zone.get(self.settings.zone, "")
 
     # What is in force
 
@@ -102,10 +102,10 @@
         except DocumentError as error:
             return self._reject(stored, str(error))
         policy = compile_policy(document, stored.version)
-        if self.settings.zone not in policy.zone_regions:
+        if self.settings.zone not in policy.region_by_zone:
             return self._reject(stored, f"does not name this entry's zone {self.settings.zone}")
         region = self.region
-        if region and policy.zone_regions[self.settings.zone] != region:
+        if region and policy.region_by_zone[self.settings.zone] != region:
             return self._reject(stored, f"moves this entry's zone out of {region}")
         self._put_in_force(policy)
         return True
@@ -146,7 +146,7 @@
         now = self._clock.monotonic()
         self.policy = policy
         self._blocks = BlockTable.from_prefixes(policy.default_home, policy.homes_by_prefix)
-        self.pacing.policy_accepted(policy, now)
+        self.pacing.apply_policy(policy, now)
         latency_by_service = {
             name: service.objective.latency for name, service in policy.services_by_name.items()
         }
@@ -215,7 +215,7 @@
         service = self._service_of(request.path)
         if service:
             home = self._blocks.home(request.block)
-            self._meter.arrived(service, home, self._clock.monotonic())
+            self._meter.record_arrival(service, home, self._clock.monotonic())
 
     def answered(self, request: Request, region: str, code: Code, seconds: float) -> None:
         """Count a final answer; log it if it is not the service's own."""
@@ -225,7 +225,7 @@
             return
         service = self._service_of(request.path)
         if service and region and code is Code.ANSWERED:
-            self._meter.answered(service, seconds, self._clock.monotonic())
+            self._meter.record_response(service, seconds, self._clock.monotonic())
         if request.forwarded_by is not None:
             return
         self._metrics.count("answers", code.name)
@@ -259,7 +259,7 @@
         now = self._clock.monotonic()
         self._leaving_seen_by_target.setdefault(target_id, now)
         if self.core is not None:
-            self.core.exchange.target_leaving(target_id, now, now)
+            self.core.exchange.record_leaving(target_id, now, now)
 
     # What the entry says of itself
 
@@ -307,10 +307,10 @@
             return b""
         now = self._clock.monotonic()
         counts = {
-            service: _slot_count(targets, self.core.placement.queued(service), now)
+            service: _slot_count(targets, self.core.placement.queue_length(service), now)
             for service, targets in self.core.placement.targets_by_service.items()
         }
-        return self._meter.document(counts, now).model_dump_json().encode()
+        return self._meter.next_report(counts, now).model_dump_json().encode()
 
     def _drains(self, now: float) -> list[DrainStatus]:
         if self.core is None:
