--- a/briarspur/attempts.py
+++ b/briarspur/attempts.py
@@ -60,7 +60,7 @@
     ----------
     caller : Caller or None
         None once the caller is gone or has its final answer.
-    passed : int
+    bytes_sent : int
         Body bytes given to the caller.
     first_head : AnswerHead or None
         The head that the caller got.
@@ -76,7 +76,7 @@
     arrived: float
     caller: Caller | None
     attempts_by_id: dict[int, "OpenAttempt"] = field(default_factory=dict)
-    passed: int = 0
+    bytes_sent: int = 0
     first_head: AnswerHead | None = None
     peer_code: Code | None = None
     another_entity: bool = False
@@ -228,7 +228,7 @@
             return
         first = self.open_request.first_head
         expected = first.length if first is not None and self.action.resume_at else None
-        if expected is not None and self.open_request.passed != expected:
+        if expected is not None and self.open_request.bytes_sent != expected:
             self._owner.attempt_failed(self, Failure.CUT_SHORT, None, False)
             return
         self._owner.attempt_ended(self, self._kept_answer())
@@ -282,7 +282,7 @@
         if caller is None:
             return
         caller.write(data)
-        self.open_request.passed += len(data)
+        self.open_request.bytes_sent += len(data)
         self._owner.part_passed(self, len(data))
 
     def _kept_answer(self) -> Answer | None:
--- a/briarspur/carry.py
+++ b/briarspur/carry.py
@@ -170,7 +170,7 @@
             failure,
             self._clock.seconds(),
             retry_after=retry_after,
-            passed=open_request.passed,
+            bytes_sent=open_request.bytes_sent,
             resumable=open_request.can_resume(),
             crashed=crashed and not attempt.to_entry,
         )
--- a/briarspur/core.py
+++ b/briarspur/core.py
@@ -1,6 +1,7 @@
-"""The decision core of an entry: events in, actions out, without I/O, clock or chance of its own.
+"""The decision core of an entry: turns events into actions and does no I/O.
 
-Each method is one event; :mod:`briarspur.pipeline` has the filters that a request passes.
+It reads no clock and uses no random numbers except those of the generator passed in. Each method
+of :class:`Core` handles one event; :mod:`briarspur.pipeline` applies the filters to a request.
 """
 
 import random
@@ -14,7 +15,6 @@
 from briarspur.coord.once import KeyMemory
 from briarspur.coord.quarantine import Quarantine
 from briarspur.exchange import Exchange
-from briarspur.finals import Finals
 from briarspur.inflight import InFlight
 from briarspur.members import MemberView
 from briarspur.messages import (
@@ -34,23 +34,24 @@
 from briarspur.policy import Policy
 from briarspur.refusal import Answer, Refusal
 from briarspur.region import Splits
+from briarspur.requesttable import RequestTable
 from briarspur.routing import Routing
 from briarspur.target import Chooser, LeastInFlight
 
 __all__ = ["Core", "CoreSettings"]
 
-TICK_S = 0.05
-"""Seconds between two looks at what waits."""
+TICK_INTERVAL_S = 0.05
+"""Seconds between two ticks while requests are queued."""
 
 
 @dataclass(frozen=True, slots=True)
 class CoreSettings:
-    """Bounds of the core's memory; times in seconds.
+    """Limits on what the core keeps in memory; times in seconds.
 
     Attributes
     ----------
     key_skew : float
-        By how much the wall clocks of entries may differ.
+        Maximum difference between the wall clocks of two entries.
     """
 
     queue_limit: int = 200
@@ -60,27 +61,28 @@
 
 
 class Core:
-    """Decides for one entry.
+    """Decides what one entry does with its requests.
 
     Parameters
     ----------
-    me : str
+    entry_id : str
         This entry's id.
     region : str
-        The region this entry is in.
+        This entry's region.
     incarnation : str
-        Random text of this process, 16 hex digits; the prefix of the keys it is the home of.
+        Random id of this process, 16 hex digits; prefix of the keys whose home it is.
     rng : random.Random
-        The only source of chance.
+        The only source of random numbers.
     now : float
-        When the process began, on its monotonic clock.
+        Start of the process on its monotonic clock.
     rule, chooser : SlotRule, Chooser
-        How targets and slots are given out; the defaults are the ones chosen by measurement.
+        How slots are assigned to entries, and how a target with a free slot is chosen; by default
+        :class:`OwnerSlots` and :class:`LeastInFlight`.
     """
 
     def __init__(
         self,
-        me: str,
+        entry_id: str,
         region: str,
         incarnation: str,
         rng: random.Random,
@@ -90,7 +92,7 @@
         chooser: Chooser | None = None,
     ) -> None:
         self.settings = settings or CoreSettings()
-        self.me = me
+        self.entry_id = entry_id
         self.region = region
         self.policy: Policy | None = None
         self.view = MemberView()
@@ -103,7 +105,7 @@
         )
         self.quarantine = Quarantine()
         self.placement = Placement(
-            me,
+            entry_id,
             region,
             self.rule,
             chooser or LeastInFlight(rng),
@@ -111,26 +113,26 @@
             self.settings.queue_limit,
         )
         self._classifier: Classifier | None = None
-        self.exchange = Exchange(me, incarnation, self.placement, self.quarantine)
-        self.routing = Routing(me, region, self.placement, rng)
+        self.exchange = Exchange(entry_id, incarnation, self.placement, self.quarantine)
+        self.routing = Routing(entry_id, region, self.placement, rng)
         self._inflight = InFlight(region, self.placement, self.quarantine, self.keys)
-        self._finals = Finals(self.keys, self.placement)
+        self._requests = RequestTable(self.keys, self.placement)
         self._pipeline = Pipeline(
             self.keys,
             self.quarantine,
             self.routing,
             self.placement,
             self._inflight,
-            self._finals,
+            self._requests,
         )
         self._first_assignment = True
 
-    # What is in force
+    # Configuration and membership
 
     def policy_accepted(
         self, policy: Policy, home_of: Callable[[int], str], now: float
     ) -> list[Action]:
-        """Take a new version of the policy; ``home_of`` gives the home region of a block."""
+        """Apply a new version of the policy; ``home_of`` returns the home region of a block."""
         old = self.policy.version if self.policy else 0
         invariants.check("policy-version-rises", policy.version > old, (old, policy.version))
         self.policy = policy
@@ -139,95 +141,95 @@
         self.routing.policy_accepted(policy, now)
         self._assign(now)
         out: list[Action] = []
-        self._pipeline.run_waiting(now, out)
+        self._pipeline.dispatch_waiting(now, out)
         return out
 
     def view_changed(self, view: MemberView, now: float) -> list[Action]:
-        """Take a new view of the live entries."""
+        """Apply a new view of the live entries."""
         self.view = view
         self._assign(now)
         out: list[Action] = []
-        self._pipeline.run_waiting(now, out)
+        self._pipeline.dispatch_waiting(now, out)
         return out
 
     def plan_accepted(self, splits: Splits) -> None:
-        """Let the splits of a plan, by service and home region, go before the policy's."""
+        """Use the splits of a plan, by service and home region, in preference to the policy's."""
         self.routing.follow_plan(splits)
 
     def _assign(self, now: float) -> None:
-        if self.policy is None or self.me not in self.view.by_id:
+        if self.policy is None or self.entry_id not in self.view.by_id:
             return
         for own in self.placement.assign(self.policy, self.view, now):
-            # The entry that owned the target before may still have requests running on it, so its
-            # slots are reduced until those have reached their deadlines.
+            # The previous owner may still have requests running on the target, so its slots are
+            # reduced until the deadlines of those requests have passed.
             if not self._first_assignment:
                 service = self.policy.services_by_name[own.target.service]
                 own.ramp.handover(now, now + service.longest_deadline)
         self._first_assignment = False
 
     def ready(self) -> bool:
-        """Tell whether requests can be decided on."""
-        return self.policy is not None and self.me in self.view.by_id
+        """Return whether the core has a policy and a view that includes this entry."""
+        return self.policy is not None and self.entry_id in self.view.by_id
 
     # Events of callers
 
     def request_arrived(self, request: Request, now: float, wall: float) -> list[Action]:
-        """Decide about a new request; ``wall`` is unix time in seconds."""
+        """Handle a new request; ``wall`` is Unix time in seconds."""
         out: list[Action] = []
         if self._classifier is None or not self.ready():
             return [Refuse(request.request_id, self._not_ready(request))]
         item = self._classifier.classify(request, now)
         if item.is_error():
             return [Refuse(request.request_id, item.error)]
-        self._pipeline.enter(item.ok, self.view, now, wall, out)
+        self._pipeline.start(item.ok, self.view, now, wall, out)
         return out
 
     def _not_ready(self, request: Request) -> Refusal:
-        # Another entry may have run an earlier copy of a keyed request: only the key's home may say
-        # that it was not run.
+        # Another entry may have run an earlier copy of a request with a key, so only the key's home
+        # may answer that it was not run.
         code = Code.NOT_READY if request.key is None else Code.HOME_UNREACHABLE
         return Refusal(code, retry_after=1.0)
 
     def caller_gone(self, request_id: str, now: float) -> list[Action]:
-        """Stop working for a caller that has hung up, unless its request may run only once."""
+        """Stop work for a caller that disconnected; a dispatched once-only request continues."""
         out: list[Action] = []
-        work = self._finals.get(request_id)
+        work = self._requests.get(request_id)
         if work is None:
             return out
-        work.caller_here = False
+        work.caller_connected = False
         if work.kind is Kind.ONCE_ONLY:
-            self._finals.once_only_caller_gone(work)
+            self._requests.handle_once_only_disconnect(work)
         else:
             if work.attempt is not None:
                 out.append(Cancel(work.attempt.attempt_id))
                 self._inflight.end(work, work.attempt)
-            self._finals.close(work)
-        self._pipeline.run_waiting(now, out)
+            self._requests.close(work)
+        self._pipeline.dispatch_waiting(now, out)
         return out
 
     # Events of attempts
 
     def answer_began(self, attempt_id: int, status: int, now: float) -> list[Action]:
-        """Let the answer of the current attempt through; drop that of any other one."""
+        """Relay the answer if it belongs to the request's current attempt; otherwise drop it."""
         current = self._inflight.current(attempt_id)
         if current is None:
             return []
         work, attempt = current
-        attempt.began = True
+        attempt.head_received = True
         return [Begin(work.request.request_id, attempt_id)]
 
     def answer_ended(
         self, attempt_id: int, answer: Answer | None, size: int, now: float, status: int = 200
     ) -> list[Action]:
-        """Finish a request whose whole answer has passed; ``answer`` if it was to be kept."""
+        """Finish a request whose answer is complete; ``answer`` is set if it has to be kept."""
         out: list[Action] = []
         current = self._inflight.current(attempt_id)
         if current is None:
             return out
         work, attempt = current
         self._inflight.answered(work, attempt, status, now)
-        self._finals.answered(work, answer, now, out)
-        self._pipeline.run_waiting(now, out)
+        self._requests.finish_answered(work, answer, now, out)
+        self._pipeline.dispatch_waiting(now, out)
         return out
 
     def attempt_failed(
@@ -236,20 +238,20 @@
         failure: Failure,
         now: float,
         retry_after: float | None = None,
-        passed: int = 0,
+        bytes_sent: int = 0,
         resumable: bool = False,
         crashed: bool = False,
     ) -> list[Action]:
-        """Try a request again where that is safe and within the budget; otherwise end it.
+        """Retry a request if that is safe and within the retry budget; otherwise finish it.
 
         Parameters
         ----------
         retry_after : float or None
-            Seconds, from the one that refused.
-        passed : int
-            Bytes of the body already given to the caller.
+            Seconds, from the Retry-After header of the receiver that refused.
+        bytes_sent : int
+            Body bytes already sent to the caller.
         resumable : bool
-            The rest can be asked for by Range and If-Range.
+            The rest of the body can be requested with Range and If-Range.
         crashed : bool
             The target seems to have crashed.
         """
@@ -258,30 +260,30 @@
         if current is None:
             return out
         work, attempt = current
-        work.passed = passed
+        work.bytes_sent = bytes_sent
         self._inflight.failed(work, attempt, failure, crashed, now, retry_after)
-        self._pipeline.failed(work, attempt, failure, resumable, retry_after, now, out)
-        self._pipeline.run_waiting(now, out)
+        self._pipeline.attempt_failed(work, attempt, failure, resumable, retry_after, now, out)
+        self._pipeline.dispatch_waiting(now, out)
         return out
 
     # Claims and outcomes in the store
 
     def claim_settled(self, request_id: str, claim: SettledClaim, now: float) -> list[Action]:
-        """Go on with a foreign key whose claim was tried."""
+        """Continue a request with a foreign key, now that the result of its claim is known."""
         out: list[Action] = []
-        work = self._finals.get(request_id)
+        work = self._requests.get(request_id)
         if work is not None:
-            self._pipeline.claimed(work, claim, self.view, now, out)
+            self._pipeline.claim_settled(work, claim, self.view, now, out)
         return out
 
     def outcome_fetched(
         self, request_id: str, found: bool, answer: Answer | None, now: float
     ) -> list[Action]:
-        """Answer from what a gone home left in the store; the key is not run again."""
-        work = self._finals.get(request_id)
+        """Answer with the outcome that a terminated home stored; never run the key again."""
+        work = self._requests.get(request_id)
         if work is None:
             return []
-        self._finals.close(work)
+        self._requests.close(work)
         if answer is not None:
             return [Reply(request_id, answer)]
         code = Code.ANSWERED_NOT_KEPT if found else Code.HOME_GONE
@@ -290,28 +292,28 @@
     # Time
 
     def tick(self, now: float, wall: float) -> list[Action]:
-        """Refuse at once what would wait too long, and use what has become free."""
+        """Refuse queued requests that can't meet their deadlines; dispatch others to free slots."""
         out: list[Action] = []
         for work in self.placement.hopeless(now):
             self._pipeline.refuse(work, self.placement.overloaded(work.service.name, now), out)
-        self._pipeline.refuse_overdue_at_store(now, out)
+        self._pipeline.refuse_overdue_store_waits(now, out)
         self.keys.expire(now, wall)
-        self._pipeline.run_waiting(now, out)
+        self._pipeline.dispatch_waiting(now, out)
         return out
 
     def next_wake(self, now: float) -> float | None:
-        """Return when ``tick`` wants to be called; None if nothing waits."""
-        return now + TICK_S if self.placement.waiting() else None
+        """Return when ``tick`` has to be called next; None if no request is queued."""
+        return now + TICK_INTERVAL_S if self.placement.waiting() else None
 
     @property
     def account(self) -> Account:
-        """Return this entry's part of its region's in-flight limit."""
+        """Return this entry's share of its region's in-flight limit."""
         return self.placement.account
 
     def in_flight(self) -> int:
-        """Return how many attempts have not ended."""
+        """Return the number of attempts that have not ended."""
         return len(self._inflight)
 
     def open_requests(self) -> int:
-        """Return how many requests have no final answer yet."""
-        return len(self._finals)
+        """Return the number of requests without a final answer."""
+        return len(self._requests)
--- a/briarspur/dedupe.py
+++ b/briarspur/dedupe.py
@@ -1,4 +1,4 @@
-"""Filter: what is to be done with a once-only request, by what is known of its key."""
+"""Filter: decide how to handle a once-only request by what is known about its key."""
 
 from dataclasses import dataclass
 
@@ -11,21 +11,21 @@
 from briarspur.work import Classified
 
 __all__ = [
-    "AskStore",
     "ClaimKey",
+    "Decision",
     "Deduplicator",
-    "Final",
-    "Known",
-    "Run",
-    "Step",
-    "ToHome",
+    "FetchFromStore",
+    "ForwardToHome",
+    "Proceed",
+    "Reject",
+    "ReplayAnswer",
     "WaitForOutcome",
 ]
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
-    """Go on to the next filter; ``key`` is None where no key has to be kept here."""
+class Proceed:
+    """Continue with the next filter; ``key`` is None if this entry doesn't track a key for it."""
 
     key: Key | None = None
 
@@ -38,101 +38,105 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToHome:
+class ForwardToHome:
     """Forward the request to the home of its key."""
 
     home: ViewedMember
 
 
 @dataclass(frozen=True, slots=True)
-class AskStore:
-    """The home is gone: read what it left in the store. Nobody runs the key any more."""
+class FetchFromStore:
+    """The home has terminated: read its outcomes from the store. No entry runs the key again."""
 
     key: Key
 
 
 @dataclass(frozen=True, slots=True)
 class WaitForOutcome:
-    """The key runs already; its outcome will be this caller's too."""
+    """The key is running; this caller gets the same outcome."""
 
     key: Key
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """The key has run, and this is its answer."""
+class ReplayAnswer:
+    """Send the answer of the run that this key already had."""
 
     answer: once.KeptAnswer
 
 
 @dataclass(frozen=True, slots=True)
-class Final:
-    """Refuse."""
+class Reject:
+    """Refuse the request."""
 
     refusal: Refusal
 
 
-Step = Run | ClaimKey | ToHome | AskStore | WaitForOutcome | Known | Final
+Decision = (
+    Proceed | ClaimKey | ForwardToHome | FetchFromStore | WaitForOutcome | ReplayAnswer | Reject
+)
 
 
 class Deduplicator:
-    """Sends each key to the one entry process that may dispatch it.
+    """Ensures that each key is dispatched by a single entry process only.
 
-    Two entries that each ran a copy of the same booking would record it twice, and no check after
-    the fact could undo that. So a key of a look-up is run only by the incarnation named in it, and
-    when that process is gone, by nobody.
+    If two entries each ran a copy of the same booking, it would be recorded twice, and no later
+    check could undo that. So a key that a look-up issued is run only by the incarnation named in
+    it, and by no entry once that process has terminated.
 
     Parameters
     ----------
     keys : KeyMemory
-        The keys this entry is the home of.
+        The keys whose home is this entry.
     """
 
     def __init__(self, keys: once.KeyMemory) -> None:
         self._keys = keys
 
-    def arrive(self, item: Classified, view: MemberView, now: float, wall: float) -> Step:
-        """Decide about a request; ``wall`` is unix time in seconds."""
+    def decide(self, item: Classified, view: MemberView, now: float, wall: float) -> Decision:
+        """Return how to handle a request; ``wall`` is Unix time in seconds."""
         request = item.request
         if item.rule.kind is Kind.IDEMPOTENT or request.dispatch_only:
-            return Run()
+            return Proceed()
         if request.key is None:
-            return Final(Refusal(Code.KEY_REQUIRED))
+            return Reject(Refusal(Code.KEY_REQUIRED))
         parsed = parse_key(request.key)
         if parsed.is_error():
-            return Final(Refusal(Code.MALFORMED_KEY, parsed.error.value))
+            return Reject(Refusal(Code.MALFORMED_KEY, parsed.error.value))
         key = parsed.ok
-        arrival = self._keys.admit_request(key, request.body_digest, request.request_id, now, wall)
-        if isinstance(arrival, once.NotHome):
-            return self._send_home(key, arrival.incarnation, item, view)
-        return self._at_home(key, arrival)
-
-    def _send_home(self, key: Key, incarnation: str, item: Classified, view: MemberView) -> Step:
+        result = self._keys.admit_request(key, request.body_digest, request.request_id, now, wall)
+        if isinstance(result, once.NotHome):
+            return self._decide_for_other_home(key, result.incarnation, item, view)
+        return self._decide_as_home(key, result)
+
+    def _decide_for_other_home(
+        self, key: Key, incarnation: str, item: Classified, view: MemberView
+    ) -> Decision:
         home = view.by_incarnation(incarnation)
         if home is None:
-            return AskStore(key)
+            return FetchFromStore(key)
         if item.request.forwarded_by is not None:
-            # Two entries with different views would send the request to and fro.
-            return Final(Refusal(Code.HOME_UNREACHABLE, retry_after=1.0))
-        return ToHome(home)
+            # Two entries with different views would forward the request to each other forever.
+            return Reject(Refusal(Code.HOME_UNREACHABLE, retry_after=1.0))
+        return ForwardToHome(home)
 
-    def _at_home(self, key: Key, arrival: once.AdmitResult) -> Step:
-        match arrival:
+    def _decide_as_home(self, key: Key, result: once.AdmitResult) -> Decision:
+        match result:
             case once.Fresh(claimed=claimed):
-                return ClaimKey(key) if key.is_foreign and not claimed else Run(key)
+                return ClaimKey(key) if key.is_foreign and not claimed else Proceed(key)
             case once.Joined():
                 return WaitForOutcome(key)
             case once.Replay(answer=None):
-                return Final(Refusal(Code.ANSWERED_NOT_KEPT))
+                return Reject(Refusal(Code.ANSWERED_NOT_KEPT))
             case once.Replay(answer=answer) if answer is not None:
-                return Known(answer)
+                return ReplayAnswer(answer)
             case once.OutcomeLost():
-                return Final(Refusal(Code.OUTCOME_UNKNOWN))
+                return Reject(Refusal(Code.OUTCOME_UNKNOWN))
             case once.KeyReused():
-                return Final(Refusal(Code.KEY_REUSED))
+                return Reject(Refusal(Code.KEY_REUSED))
             case once.Expired():
-                return Final(Refusal(Code.KEY_EXPIRED))
+                return Reject(Refusal(Code.KEY_EXPIRED))
             case once.NotIssued():
-                return Final(Refusal(Code.MALFORMED_KEY, "expiry too far ahead"))
+                return Reject(Refusal(Code.MALFORMED_KEY, "expiry too far ahead"))
             case _:
-                return Final(Refusal(Code.MEMORY_FULL, retry_after=5.0))
+                return Reject(Refusal(Code.MEMORY_FULL, retry_after=5.0))
--- a/briarspur/inflight.py
+++ b/briarspur/inflight.py
@@ -1,4 +1,4 @@
-"""The attempts in progress: what each one holds, and what its end teaches."""
+"""The attempts in progress: the resources they hold and the statistics they update."""
 
 from briarspur.coord.invariants import invariants
 from briarspur.coord.once import KeyMemory
@@ -15,8 +15,9 @@
 class InFlight:
     """Attempts by id.
 
-    An attempt holds a slot of its target and a unit of the region's limit from the moment it is
-    made until :meth:`end`. Making one for a request with a key is the point of no return.
+    An attempt holds a slot of its target and a unit of the region's in-flight limit from its
+    creation until :meth:`end`. Once created for a request with a key, the attempt counts as run
+    unless there is proof that it was not.
     """
 
     def __init__(
@@ -34,10 +35,10 @@
         return len(self._by_id)
 
     def current(self, attempt_id: int) -> tuple[Work, Attempt] | None:
-        """Return a request with its current attempt; None if that was given up or replaced.
+        """Return a request with its current attempt; None if the attempt is no longer current.
 
-        Answers of superseded attempts arrive late and out of order; passing one on would give a
-        caller a part of one answer and a part of another.
+        Answers of superseded attempts arrive late and out of order; relaying one would send a
+        caller parts of two different answers.
         """
         attempt = self._by_id.get(attempt_id)
         work = self._work_by_attempt.get(attempt_id)
@@ -46,22 +47,22 @@
         invariants.check("one-attempt-a-request", work.attempt is attempt, attempt)
         return work, attempt
 
-    def to_target(self, work: Work, own: OwnTarget, now: float) -> Dispatch | None:
-        """Dispatch to a target of ours; its unit of the region's limit was just taken.
+    def dispatch(self, work: Work, own: OwnTarget, now: float) -> Dispatch | None:
+        """Dispatch to one of this entry's targets, with a unit of the region's limit already held.
 
-        Returns None, with the unit given back, if the request must not be sent after all.
+        Returns None and releases the unit if the request must not be sent after all.
         """
-        attempt = self._make(work, now)
+        attempt = self._create(work, now)
         attempt.target_id = own.target.target_id
-        if work.alone and not self._quarantine.begin_isolated_run(
+        if work.isolated and not self._quarantine.begin_isolated_run(
             work.request.body_digest, own.target.target_id, now
         ):
             self._placement.account.release(work.deadline)
-            self._unmake(work, attempt)
+            self._discard(work, attempt)
             return None
         if work.key is not None and not self._keys.mark_dispatched(work.key, attempt.attempt_id):
             self._placement.account.release(work.deadline)
-            self._unmake(work, attempt)
+            self._discard(work, attempt)
             return None
         self._placement.targets_by_service[attempt.service].started(own, attempt.attempt_id, work)
         return Dispatch(
@@ -73,18 +74,18 @@
             priority=work.priority,
             deadline=work.deadline,
             keep_answer=work.key is not None,
-            resume_at=work.passed,
+            resume_at=work.bytes_sent,
         )
 
-    def to_entry(
+    def forward(
         self, work: Work, member: ViewedMember, now: float, to_home: bool = False
     ) -> Forward | None:
-        """Forward to another entry; None if the request must not be sent after all."""
-        attempt = self._make(work, now)
+        """Forward to another entry; return None if the request must not be sent after all."""
+        attempt = self._create(work, now)
         attempt.entry_id = member.address.entry_id
-        attempt.key_home = to_home
+        attempt.to_key_home = to_home
         if work.key is not None and not self._keys.mark_dispatched(work.key, attempt.attempt_id):
-            self._unmake(work, attempt)
+            self._discard(work, attempt)
             return None
         self._placement.loads.sent(attempt.entry_id, attempt.service)
         return Forward(
@@ -95,33 +96,33 @@
             dispatch_only=work.key is not None,
             relay_refusals=to_home,
             keep_answer=work.key is not None,
-            resume_at=work.passed,
+            resume_at=work.bytes_sent,
             region=member.region,
         )
 
-    def _make(self, work: Work, now: float) -> Attempt:
+    def _create(self, work: Work, now: float) -> Attempt:
         self._last_id += 1
         request_id = work.request.request_id
         attempt = Attempt(self._last_id, request_id, work.service.name, work.region, now)
         self._by_id[attempt.attempt_id] = attempt
         self._work_by_attempt[attempt.attempt_id] = work
         work.attempt = attempt
-        work.tries += 1
+        work.attempt_count += 1
         return attempt
 
-    def _unmake(self, work: Work, attempt: Attempt) -> None:
+    def _discard(self, work: Work, attempt: Attempt) -> None:
         del self._by_id[attempt.attempt_id]
         del self._work_by_attempt[attempt.attempt_id]
         work.attempt = None
 
     def answered(self, work: Work, attempt: Attempt, status: int, now: float) -> None:
-        """End an attempt whose whole answer has arrived, and learn from it."""
+        """End an attempt whose answer is complete, and update the target's statistics."""
         self._quarantine.record_answer(work.request.body_digest)
         own = self._own_target(attempt)
         if own is not None:
             targets = self._placement.targets_by_service[attempt.service]
             targets.answered(own, now - attempt.started, now)
-            self._record(attempt, status < 500, now)
+            self._record_result(attempt, status < 500, now)
         self.end(work, attempt)
 
     def failed(
@@ -131,30 +132,30 @@
         failure: Failure,
         crashed: bool,
         now: float,
-        rest: float | None = None,
+        backoff: float | None = None,
     ) -> None:
-        """End an attempt that brought no whole answer, and learn from it.
+        """End an attempt without a complete answer, and update the target's statistics.
 
         Parameters
         ----------
-        rest : float or None
-            Seconds for which the receiver that turned it away wants nothing.
+        backoff : float or None
+            Seconds for which the receiver that shed the request asked to get no more of them.
         """
         own = self._own_target(attempt)
         if own is not None:
-            self._record(attempt, failure is Failure.SHED, now)
+            self._record_result(attempt, failure is Failure.SHED, now)
             if crashed:
-                self._crashed(own, now)
-            if failure is Failure.SHED and rest is not None:
-                own.rest(rest, now)
+                self._record_crash(own, now)
+            if failure is Failure.SHED and backoff is not None:
+                own.back_off(backoff, now)
         self.end(work, attempt)
         if attempt.target_id is not None:
             work.failed_targets.add(attempt.target_id)
         if attempt.entry_id is not None:
-            work.full_entries.add(attempt.entry_id)
+            work.failed_entries.add(attempt.entry_id)
 
     def end(self, work: Work, attempt: Attempt) -> None:
-        """Give back what an attempt holds."""
+        """Remove an attempt and release the resources it holds."""
         del self._by_id[attempt.attempt_id]
         del self._work_by_attempt[attempt.attempt_id]
         work.attempt = None
@@ -168,16 +169,17 @@
             self._placement.account.release(work.deadline)
             self._quarantine.end_isolated_run(work.request.body_digest, own.target.target_id)
 
-    def _crashed(self, own: OwnTarget, now: float) -> None:
-        # One crash breaks every connection to the target. Counting each as a crash would convict a
-        # suspect at the first one, so the first event names the suspects and clears the list; the
-        # ramp begins at one again, so nothing new is sent before the last of them has broken.
+    def _record_crash(self, own: OwnTarget, now: float) -> None:
+        # One crash breaks every connection to the target. Counting each as a separate crash would
+        # quarantine a suspect after the first one, so the first broken connection reports all
+        # suspects and clears the list. The ramp restarts at one, so that nothing new is sent before
+        # the last of the connections has broken.
         suspects = list(own.digests_by_attempt.values())
         own.digests_by_attempt.clear()
         self._quarantine.record_crash(own.target.target_id, suspects, now)
         own.ramp.restart(now)
 
-    def _record(self, attempt: Attempt, ok: bool, now: float) -> None:
+    def _record_result(self, attempt: Attempt, ok: bool, now: float) -> None:
         if attempt.target_id is not None:
             outliers = self._placement.outliers_by_service[attempt.service]
             outliers.record(attempt.target_id, ok, now)
--- a/briarspur/interfaces.py
+++ b/briarspur/interfaces.py
@@ -54,7 +54,7 @@
         failure: Failure,
         now: float,
         retry_after: float | None = None,
-        passed: int = 0,
+        bytes_sent: int = 0,
         resumable: bool = False,
         crashed: bool = False,
     ) -> list[Action]:
--- a/briarspur/node.py
+++ b/briarspur/node.py
@@ -318,7 +318,7 @@
         drains = []
         for targets in self.core.placement.targets_by_service.values():
             for target_id, own in targets.by_id.items():
-                if own.leaving(now):
+                if own.is_leaving(now):
                     since = self._leaving_seen_by_target.setdefault(target_id, now)
                     drains.append(
                         DrainStatus(
@@ -338,6 +338,6 @@
 
 
 def _slot_count(targets: OwnTargets, queued: int, now: float) -> SlotCount:
-    taking = [own for own in targets.by_id.values() if not own.leaving(now)]
+    taking = [own for own in targets.by_id.values() if not own.is_leaving(now)]
     warm = sum(min(own.slots, own.ramp.limit(now)) for own in taking)
     return SlotCount(sum(own.slots for own in taking), warm, queued)
--- a/briarspur/pipeline.py
+++ b/briarspur/pipeline.py
@@ -1,7 +1,7 @@
-"""The filters in their order, from a classified request to an action or a final refusal.
+"""The sequence of filters that turns a classified request into an action or a refusal.
 
-deduplicate -> quarantine -> choose region -> place (admit, choose target) -> send. What an attempt
-brings back leads to the answer, through the filters again, or to the final refusal.
+deduplicate -> quarantine -> choose region -> place (admit, choose target) -> send. The result of an
+attempt leads to the answer, to a retry through some of the filters, or to the final refusal.
 """
 
 from briarspur.codes import Code
@@ -9,16 +9,15 @@
 from briarspur.coord.once import KeptAnswer, KeyMemory, NotRunProof
 from briarspur.coord.quarantine import Admission, Quarantine
 from briarspur.dedupe import (
-    AskStore,
     ClaimKey,
     Deduplicator,
-    Final,
-    Known,
-    Run,
-    ToHome,
+    FetchFromStore,
+    ForwardToHome,
+    Proceed,
+    Reject,
+    ReplayAnswer,
     WaitForOutcome,
 )
-from briarspur.finals import Finals
 from briarspur.inflight import InFlight
 from briarspur.members import MemberView, ViewedMember
 from briarspur.messages import (
@@ -34,6 +33,7 @@
 )
 from briarspur.placement import Placement, Queued, Refused, ToEntry, ToTarget
 from briarspur.refusal import Answer, Refusal
+from briarspur.requesttable import RequestTable
 from briarspur.routing import Routing
 from briarspur.storewaits import StoreWaits
 from briarspur.target import OwnTarget
@@ -41,14 +41,14 @@
 
 __all__ = ["Pipeline"]
 
-MAX_TRIES = 3
-"""Attempts for one request, the first one included."""
+MAX_ATTEMPTS = 3
+"""Attempts per request, including the first one."""
 
-CLAIM_RETRY_AFTER = 2.0
-"""Seconds until a caller may repeat a request whose claim could not be used."""
+CLAIM_RETRY_AFTER_S = 2.0
+"""Retry-After for a request whose claim failed or could not be used."""
 
-REPEATABLE = frozenset({Failure.NOT_SENT, Failure.SHED})
-"""Failures that prove that the attempt ran nothing."""
+NOT_RUN_FAILURES = frozenset({Failure.NOT_SENT, Failure.SHED})
+"""Failures that prove that the request was not run."""
 
 FINAL_CODE_BY_FAILURE = {
     Failure.NOT_SENT: Code.OVERLOADED,
@@ -60,19 +60,19 @@
 
 
 class Pipeline:
-    """Takes each request through the filters; every method appends its actions to ``out``.
+    """Applies the filters to each request; methods append the resulting actions to ``out``.
 
     Parameters
     ----------
     keys : KeyMemory
-        The keys this entry is the home of.
+        The keys whose home is this entry.
     quarantine : Quarantine
         Requests that crashed backend servers.
     routing, placement : Routing, Placement
-        The choice of a region, and of a place in it.
+        Choose the region, and the target or entry in it.
     inflight : InFlight
         The attempts in progress.
-    finals : Finals
+    requests : RequestTable
         The open requests.
     """
 
@@ -83,44 +83,44 @@
         routing: Routing,
         placement: Placement,
         inflight: InFlight,
-        finals: Finals,
+        requests: RequestTable,
     ) -> None:
         self._keys = keys
         self._quarantine = quarantine
         self._routing = routing
         self._placement = placement
         self._inflight = inflight
-        self._finals = finals
+        self._requests = requests
         self._dedupe = Deduplicator(keys)
         self._store_waits = StoreWaits()
 
-    def enter(
+    def start(
         self, item: Classified, view: MemberView, now: float, wall: float, out: list[Action]
     ) -> None:
-        """Begin with a classified request: what is known of its key decides where it goes."""
-        step = self._dedupe.arrive(item, view, now, wall)
+        """Process a classified request, depending on what is known about its key."""
+        decision = self._dedupe.decide(item, view, now, wall)
         request_id = item.request.request_id
-        if isinstance(step, Final):
-            out.append(Refuse(request_id, step.refusal))
+        if isinstance(decision, Reject):
+            out.append(Refuse(request_id, decision.refusal))
             return
-        if isinstance(step, Known):
-            out.append(Reply(request_id, _answer(step.answer)))
+        if isinstance(decision, ReplayAnswer):
+            out.append(Reply(request_id, _to_answer(decision.answer)))
             return
         work = Work(item.request, item.service, item.rule, item.home, item.deadline, now)
-        self._finals.open(work)
-        match step:
-            case Run(key=key):
+        self._requests.open(work)
+        match decision:
+            case Proceed(key=key):
                 work.key = key
                 self._routing.first_attempt(work)
                 self.admit(work, now, out)
             case ClaimKey(key=key):
                 work.key = key
-                work.claiming = True
+                work.claim_pending = True
                 self._store_waits.add(work, key)
                 out.append(Claim(request_id, key.text, item.request.body_digest))
-            case ToHome(home=home):
+            case ForwardToHome(home=home):
                 self._forward(work, home, now, out, to_home=True)
-            case AskStore(key=key):
+            case FetchFromStore(key=key):
                 self._fetch_outcome(work, key.incarnation or "", key, out)
             case WaitForOutcome(key=key):
                 self._store_waits.add(work, key)
@@ -129,19 +129,19 @@
         self._store_waits.add(work, key)
         out.append(FetchOutcome(work.request.request_id, incarnation, key.text))
 
-    def refuse_overdue_at_store(self, now: float, out: list[Action]) -> None:
-        """Answer the callers whose deadlines pass while the store says nothing.
+    def refuse_overdue_store_waits(self, now: float, out: list[Action]) -> None:
+        """Refuse callers whose deadlines pass while they wait for the store.
 
-        A store that hangs holds a call for its timeout, and a claim for several of them, so a
-        caller of a foreign key had no answer when its own timeout came. The claim itself goes on:
-        it may take effect and can't be made twice.
+        A call to a store that hangs lasts as long as its timeout, and a claim several times as
+        long, so without this a caller with a foreign key got no answer before its own timeout. The
+        claim itself isn't cancelled: it may take effect and can't be repeated.
         """
         for work, key in self._store_waits.take_overdue(now):
-            if self._finals.waits_for_store(work, key):
-                refusal = Refusal(Code.STORE_UNAVAILABLE, retry_after=CLAIM_RETRY_AFTER)
-                self._finals.refuse_caller(work, refusal, out)
+            if self._requests.is_waiting_for_store(work, key):
+                refusal = Refusal(Code.STORE_UNAVAILABLE, retry_after=CLAIM_RETRY_AFTER_S)
+                self._requests.refuse_caller(work, refusal, out)
 
-    def claimed(
+    def claim_settled(
         self,
         work: Work,
         claim: SettledClaim,
@@ -149,25 +149,25 @@
         now: float,
         out: list[Action],
     ) -> None:
-        """Go on with a foreign key: run it, send it to the one that holds its claim, or refuse."""
+        """Run a request with a foreign key, forward it to the holder of the claim, or refuse it."""
         key = work.key
-        work.claiming = False
+        work.claim_pending = False
         self._store_waits.discard(work)
         if key is None:
             return
         if claim.result is ClaimResult.OURS:
             self._keys.mark_claimed(key)
-            if work.caller_here:
+            if work.caller_connected:
                 self._routing.first_attempt(work)
                 self.admit(work, now, out)
             else:
-                # Kept as ours but not run: the claim can't be made a second time, so a repeat that
-                # found nothing here could never be run.
-                self.refuse(work, Refusal(Code.OVERLOADED, retry_after=CLAIM_RETRY_AFTER), out)
+                # Not run, but the key stays marked as claimed: the claim can't be repeated, so
+                # without the mark a repeat of the request could never be run.
+                self.refuse(work, Refusal(Code.OVERLOADED, retry_after=CLAIM_RETRY_AFTER_S), out)
         elif claim.result is ClaimResult.TAKEN:
             self._send_to_holder(work, key, claim.holder, view, now, out)
         else:
-            refusal = Refusal(Code.STORE_UNAVAILABLE, retry_after=CLAIM_RETRY_AFTER)
+            refusal = Refusal(Code.STORE_UNAVAILABLE, retry_after=CLAIM_RETRY_AFTER_S)
             self.refuse(work, refusal, out)
 
     def _send_to_holder(
@@ -179,34 +179,34 @@
         now: float,
         out: list[Action],
     ) -> None:
-        """Send the request, and those that joined it, to the entry that may run the key."""
+        """Send the request and those that joined it to the entry that holds the claim."""
         home = view.by_incarnation(holder) if holder is not None else None
         for request_id in self._keys.mark_not_run(key).request_ids:
-            each = self._finals.get(request_id)
+            each = self._requests.get(request_id)
             if each is None:
                 continue
             each.key = None
             self._store_waits.discard(each)
             if holder == self._keys.incarnation:
-                # An older claim of our own, whose key the memory has forgotten: it may have run.
-                self._finals.finish(each, Refusal(Code.HOME_GONE), out)
+                # This process made the claim earlier and has forgotten the key: it may have run.
+                self._requests.finish(each, Refusal(Code.HOME_GONE), out)
             elif home is None:
                 self._fetch_outcome(each, holder or "", key, out)
             elif each.request.forwarded_by is not None:
-                # Two entries with different views would send the request to and fro.
-                self._finals.finish(each, Refusal(Code.HOME_UNREACHABLE, retry_after=1.0), out)
+                # Two entries with different views would forward the request to each other forever.
+                self._requests.finish(each, Refusal(Code.HOME_UNREACHABLE, retry_after=1.0), out)
             else:
                 self._forward(each, home, now, out, to_home=True)
-        if not work.caller_here:
-            self._finals.close(work)
+        if not work.caller_connected:
+            self._requests.close(work)
 
     def admit(self, work: Work, now: float, out: list[Action]) -> None:
-        """Quarantine and deadline, then the choice of a region."""
+        """Check quarantine and deadline, then choose a region and place the request."""
         verdict = self._quarantine.admit(work.request.body_digest, now)
         if verdict is Admission.REFUSE:
             self.refuse(work, Refusal(Code.QUARANTINED), out)
             return
-        work.alone = verdict is Admission.RUN_ISOLATED
+        work.isolated = verdict is Admission.RUN_ISOLATED
         if now >= work.deadline:
             self.refuse(work, Refusal(Code.DEADLINE_TOO_SHORT), out)
             return
@@ -231,7 +231,7 @@
                 self.refuse(work, refusal, out)
 
     def _dispatch(self, work: Work, own: OwnTarget, now: float, out: list[Action]) -> None:
-        action = self._inflight.to_target(work, own, now)
+        action = self._inflight.dispatch(work, own, now)
         if action is not None:
             out.append(action)
         else:
@@ -245,7 +245,7 @@
         out: list[Action],
         to_home: bool = False,
     ) -> None:
-        action = self._inflight.to_entry(work, member, now, to_home)
+        action = self._inflight.forward(work, member, now, to_home)
         if action is not None:
             out.append(action)
         else:
@@ -253,7 +253,7 @@
 
     # After an attempt
 
-    def failed(
+    def attempt_failed(
         self,
         work: Work,
         attempt: Attempt,
@@ -263,12 +263,12 @@
         now: float,
         out: list[Action],
     ) -> None:
-        """Try a request again where that is safe and within the budget; otherwise end it."""
+        """Retry a request if that is safe and within the retry budget; otherwise finish it."""
         proof = _proof(failure, attempt.attempt_id)
         if self._may_retry(work, attempt, failure, resumable, proof, now):
-            self._again(work, now, out)
+            self._retry(work, now, out)
         else:
-            self._end_failed(work, attempt, failure, proof, retry_after, now, out)
+            self._finish_failed(work, attempt, failure, proof, retry_after, now, out)
 
     def _may_retry(
         self,
@@ -279,13 +279,13 @@
         proof: NotRunProof | None,
         now: float,
     ) -> bool:
-        """Tell whether another attempt is safe, in time and within the budget."""
-        if not work.caller_here or work.tries >= MAX_TRIES or now >= work.deadline:
+        """Return whether another attempt is safe, in time and within the retry budget."""
+        if not work.caller_connected or work.attempt_count >= MAX_ATTEMPTS or now >= work.deadline:
             return False
-        if attempt.key_home or (work.passed > 0 and not resumable):
+        if attempt.to_key_home or (work.bytes_sent > 0 and not resumable):
             return False
         if work.kind is Kind.ONCE_ONLY and proof is None:
-            # The booking may have run: a second attempt could record it twice.
+            # The first attempt may have run: a second one could record a booking twice.
             return False
         if failure is Failure.DEADLINE or not self._routing.take_retry(work):
             return False
@@ -298,20 +298,20 @@
         out: list[Action],
         proof: NotRunProof | None = None,
     ) -> None:
-        """End a request that was not run, and say so."""
-        if work.tries == 0 or proof is not None:
+        """Refuse a request that was not run."""
+        if work.attempt_count == 0 or proof is not None:
             self._routing.not_sent(work)
-        self._finals.give_up(work, refusal, out, proof)
+        self._requests.reject_not_run(work, refusal, out, proof)
 
-    def _again(self, work: Work, now: float, out: list[Action]) -> None:
+    def _retry(self, work: Work, now: float, out: list[Action]) -> None:
         verdict = self._quarantine.admit(work.request.body_digest, now)
         if verdict is Admission.REFUSE:
             self.refuse(work, Refusal(Code.QUARANTINED), out)
             return
-        work.alone = verdict is Admission.RUN_ISOLATED
+        work.isolated = verdict is Admission.RUN_ISOLATED
         self._place(work, now, out)
 
-    def _end_failed(
+    def _finish_failed(
         self,
         work: Work,
         attempt: Attempt,
@@ -321,36 +321,36 @@
         now: float,
         out: list[Action],
     ) -> None:
-        """End a request after its last attempt, with what can truly be said of it."""
-        if attempt.key_home:
-            # Whatever became of the copy sent there, only the home knows about the key.
+        """Finish a request after its last attempt, with the outcome as far as it is known."""
+        if attempt.to_key_home:
+            # Only the home knows whether the copy sent there was run.
             refusal = Refusal(Code.HOME_UNREACHABLE, retry_after=1.0)
-            self._finals.finish(work, refusal, out)
+            self._requests.finish(work, refusal, out)
         elif work.kind is Kind.ONCE_ONLY and proof is None:
             late = failure is Failure.DEADLINE
             code = Code.DEADLINE_PASSED_AFTER_DISPATCH if late else Code.OUTCOME_UNKNOWN
-            self._finals.unknown(work, Refusal(code), now, out)
+            self._requests.finish_unknown(work, Refusal(code), now, out)
         else:
             code = FINAL_CODE_BY_FAILURE[failure]
-            if failure in REPEATABLE:
+            if failure in NOT_RUN_FAILURES:
                 retry_after = retry_after or self._placement.retry_after(work.service.name, now)
             self.refuse(work, Refusal(code, failure.value, retry_after), out, proof)
 
-    # Waiting
+    # Queue
 
-    def run_waiting(self, now: float, out: list[Action]) -> None:
-        """Dispatch waiting requests as long as slots are free."""
+    def dispatch_waiting(self, now: float, out: list[Action]) -> None:
+        """Dispatch queued requests while slots are free."""
         while (found := self._placement.next_waiting(now)) is not None:
             work, own = found
             self._dispatch(work, own, now, out)
 
 
-def _answer(kept: KeptAnswer) -> Answer:
+def _to_answer(kept: KeptAnswer) -> Answer:
     return Answer(kept.status, kept.headers, kept.body)
 
 
 def _proof(failure: Failure, attempt_id: int) -> NotRunProof | None:
-    """Return the proof that an attempt ran nothing, if its failure is one."""
+    """Return a proof that an attempt was not run, if its failure is one."""
     if failure is Failure.NOT_SENT:
         return NotRunProof.not_sent(attempt_id)
     if failure is Failure.SHED:
--- a/briarspur/placement.py
+++ b/briarspur/placement.py
@@ -212,7 +212,7 @@
     def _free_slots_beside(self, service: str, now: float) -> int:
         """Return the free slots of our targets of all other services."""
         others = [t for name, t in self.targets_by_service.items() if name != service]
-        return sum(targets.free(now) for targets in others)
+        return sum(targets.free_slots(now) for targets in others)
 
     def _best_entry(self, work: Work, now: float) -> ViewedMember | None:
         """Return the owner in the region that seems to have the most free slots, not ourselves."""
@@ -220,7 +220,7 @@
             member
             for member in self._owners_by_flow.get((work.service.name, work.region), [])
             if member.address.entry_id != self._me
-            and member.address.entry_id not in work.full_entries
+            and member.address.entry_id not in work.failed_entries
         ]
         if not owners:
             return None
@@ -240,8 +240,8 @@
             return False
         targets = self.targets_by_service[work.service.name]
         ahead = self._waiting_by_service[work.service.name].ahead_of(work.priority)
-        wait = targets.wait_for(ahead, now) + targets.mean_latency
-        return targets.taking(now, work.failed_targets) and now + wait < work.deadline
+        wait = targets.estimate_wait(ahead, now) + targets.mean_latency
+        return targets.accepts_work(now, work.failed_targets) and now + wait < work.deadline
 
     def _queue(self, work: Work, now: float) -> Placed:
         evicted = self._waiting_by_service[work.service.name].push(work)
@@ -249,7 +249,7 @@
 
     def _refusal(self, work: Work, now: float) -> Refusal:
         service = work.service.name
-        if work.region != self.region or not self.targets_by_service[service].taking(now):
+        if work.region != self.region or not self.targets_by_service[service].accepts_work(now):
             return Refusal(Code.NO_TARGET, service, self.retry_after(service, now))
         full = self.account.held(now) <= self.account.in_use
         code = Code.REGION_FULL if full else Code.OVERLOADED
@@ -263,7 +263,7 @@
         """Return the seconds until the queue is served, spread so that callers return apart."""
         targets = self.targets_by_service.get(service)
         waiting = self._waiting_by_service.get(service)
-        wait = targets.wait_for(len(waiting), now) if targets and waiting is not None else inf
+        wait = targets.estimate_wait(len(waiting), now) if targets and waiting is not None else inf
         if wait == inf:
             # Without a target there is no queue to estimate: one may come with the next view.
             wait = NO_TARGET_RETRY_AFTER
@@ -292,7 +292,7 @@
             if not len(queue):
                 continue
             targets = self.targets_by_service[service]
-            wait_of = [targets.wait_for(n, now) for n in range(len(queue))]
+            wait_of = [targets.estimate_wait(n, now) for n in range(len(queue))]
             late = queue.hopeless(now, wait_of, targets.mean_latency)
             gone += late
         return gone
@@ -302,7 +302,7 @@
         for targets in self.targets_by_service.values():
             own = targets.by_id.get(target_id)
             if own is not None:
-                own.signal_until = until
+                own.reported_leaving_until = until
 
     def forget(self, work: Work) -> None:
         """Take a request out of the queue, if it waits."""
@@ -319,7 +319,7 @@
     def reports(self, now: float) -> Iterable[LoadReport]:
         """Yield what other entries should know of our free slots."""
         for service, targets in self.targets_by_service.items():
-            if targets.taking(now):
-                free = min(targets.free(now), self.account.free(now, now))
+            if targets.accepts_work(now):
+                free = min(targets.free_slots(now), self.account.free(now, now))
                 queued = len(self._waiting_by_service[service])
                 yield LoadReport(self._me, service, max(free, 0), queued)
--- a/briarspur/finals.py
+++ b/briarspur/requesttable.py
@@ -1,4 +1,7 @@
-"""The open requests and their final answers: one for each caller, also of those that joined."""
+"""The open requests and their final answers: one for each caller, including joined ones.
+
+A request joins another one if it repeats its key while that one runs.
+"""
 
 from briarspur.codes import Code
 from briarspur.coord.keys import Key
@@ -8,58 +11,60 @@
 from briarspur.refusal import Answer, Refusal
 from briarspur.work import Work
 
-__all__ = ["Finals"]
+__all__ = ["RequestTable"]
 
 
-class Finals:
-    """Open requests by id; each method that ends one appends the actions to ``out``."""
+class RequestTable:
+    """Open requests by id; methods that finish requests append the actions to ``out``."""
 
     def __init__(self, keys: KeyMemory, placement: Placement) -> None:
         self._keys = keys
         self._placement = placement
-        self._works_by_id: dict[str, Work] = {}
+        self._work_by_id: dict[str, Work] = {}
 
     def __len__(self) -> int:
-        return len(self._works_by_id)
+        return len(self._work_by_id)
 
     def open(self, work: Work) -> None:
         """Add a request."""
-        self._works_by_id[work.request.request_id] = work
+        self._work_by_id[work.request.request_id] = work
 
     def get(self, request_id: str) -> Work | None:
         """Return an open request."""
-        return self._works_by_id.get(request_id)
+        return self._work_by_id.get(request_id)
 
     def close(self, work: Work) -> None:
-        """Forget a request that needs no answer any more."""
+        """Remove a request that needs no further answer."""
         self._placement.forget(work)
-        self._works_by_id.pop(work.request.request_id, None)
+        self._work_by_id.pop(work.request.request_id, None)
 
-    def answered(self, work: Work, answer: Answer | None, now: float, out: list[Action]) -> None:
-        """End a request whose whole answer has passed; callers that joined it get the same."""
+    def finish_answered(
+        self, work: Work, answer: Answer | None, now: float, out: list[Action]
+    ) -> None:
+        """Finish a request whose answer is complete, and send the same answer to joined callers."""
         if work.key is not None:
             kept = KeptAnswer(answer.status, answer.headers, answer.body) if answer else None
             for request_id in self._keys.mark_finished(work.key, kept, now):
                 if request_id != work.request.request_id:
-                    self._pass_on(request_id, answer, out)
+                    self._deliver_outcome(request_id, answer, out)
         self.close(work)
 
-    def _pass_on(self, request_id: str, answer: Answer | None, out: list[Action]) -> None:
-        if self._works_by_id.pop(request_id, None) is None:
+    def _deliver_outcome(self, request_id: str, answer: Answer | None, out: list[Action]) -> None:
+        if self._work_by_id.pop(request_id, None) is None:
             return
         if answer is None:
             out.append(Refuse(request_id, Refusal(Code.ANSWERED_NOT_KEPT)))
         else:
             out.append(Reply(request_id, answer))
 
-    def give_up(
+    def reject_not_run(
         self,
         work: Work,
         refusal: Refusal,
         out: list[Action],
         proof: NotRunProof | None = None,
     ) -> None:
-        """Refuse a request that was not run, and every caller that joined it."""
+        """Refuse a request that was not run, also for every joined caller."""
         if work.key is None:
             self.finish(work, refusal, out)
             return
@@ -69,17 +74,17 @@
         self.finish(work, refusal, out)
         self._refuse_all(result.request_ids, refusal, out)
 
-    def unknown(self, work: Work, refusal: Refusal, now: float, out: list[Action]) -> None:
-        """Tell every caller of a request that its outcome is unknown."""
+    def finish_unknown(self, work: Work, refusal: Refusal, now: float, out: list[Action]) -> None:
+        """Refuse every caller of a request whose outcome is unknown."""
         waiting = self._keys.mark_lost(work.key, now) if work.key is not None else ()
         self.finish(work, refusal, out)
         self._refuse_all(waiting, refusal, out)
 
     def finish(self, work: Work, refusal: Refusal, out: list[Action]) -> None:
-        """Refuse one caller; cut its connection if a part of an answer has passed."""
+        """Refuse one caller; abort its connection if it already has a part of the body."""
         request_id = work.request.request_id
-        if work.caller_here:
-            end = Abort if work.passed > 0 else Refuse
+        if work.caller_connected:
+            end = Abort if work.bytes_sent > 0 else Refuse
             out.append(end(request_id, refusal))
         self.close(work)
 
@@ -87,35 +92,35 @@
         self, request_ids: tuple[str, ...], refusal: Refusal, out: list[Action]
     ) -> None:
         for request_id in request_ids:
-            if self._works_by_id.pop(request_id, None) is not None:
+            if self._work_by_id.pop(request_id, None) is not None:
                 out.append(Refuse(request_id, refusal))
 
-    def waits_for_store(self, work: Work, key: Key) -> bool:
-        """Tell whether a caller is there and nothing of its request has been sent on."""
-        if self.get(work.request.request_id) is not work or not work.caller_here:
+    def is_waiting_for_store(self, work: Work, key: Key) -> bool:
+        """Return whether the caller is connected and its request has not been sent anywhere yet."""
+        if self.get(work.request.request_id) is not work or not work.caller_connected:
             return False
-        return work.attempt is None and (work.claiming or not self._runs(key))
+        return work.attempt is None and (work.claim_pending or not self._is_past_claim(key))
 
-    def _runs(self, key: Key) -> bool:
-        """Tell whether a request of this key is past its claim."""
-        runners = [work for work in self._works_by_id.values() if work.key == key]
-        return any(not runner.claiming for runner in runners)
+    def _is_past_claim(self, key: Key) -> bool:
+        """Return whether a request with this key has passed the claim stage."""
+        runners = [work for work in self._work_by_id.values() if work.key == key]
+        return any(not runner.claim_pending for runner in runners)
 
     def refuse_caller(self, work: Work, refusal: Refusal, out: list[Action]) -> None:
-        """Refuse a once-only request's caller; what was begun for its key goes on."""
+        """Refuse the caller of a once-only request; work already started for its key continues."""
         out.append(Refuse(work.request.request_id, refusal))
-        work.caller_here = False
-        self.once_only_caller_gone(work)
+        work.caller_connected = False
+        self.handle_once_only_disconnect(work)
 
-    def once_only_caller_gone(self, work: Work) -> None:
-        """Give a once-only request up if nothing was dispatched and no other caller waits."""
+    def handle_once_only_disconnect(self, work: Work) -> None:
+        """Drop a once-only request if nothing was dispatched and no other caller waits for it."""
         key = self._keys.remove_caller(work.request.request_id)
-        runners = [w for w in self._works_by_id.values() if key is not None and w.key == key]
-        if work.claiming:
-            # The claim may take effect and can't be made twice: its answer decides.
+        runners = [w for w in self._work_by_id.values() if key is not None and w.key == key]
+        if work.claim_pending:
+            # The claim may take effect and can't be repeated, so its result has to be awaited.
             return
-        if any(runner.claiming for runner in runners):
-            # One that joined has nothing of its own to wait for: the runner has the claim.
+        if any(runner.claim_pending for runner in runners):
+            # A joined request has no claim itself; the request that runs the key awaits it.
             self.close(work)
             return
         if key is not None:
--- a/briarspur/target.py
+++ b/briarspur/target.py
@@ -1,4 +1,4 @@
-"""Filter: which backend server of our own runs a request."""
+"""Filter: choose which of this entry's backend servers runs a request."""
 
 import random
 from collections.abc import Collection, Sequence
@@ -12,13 +12,14 @@
 
 __all__ = ["Chooser", "LeastInFlight", "OwnTarget", "OwnTargets"]
 
-MIN_LATENCY = 1e-4
-"""Seconds; a floor for the mean, so that an estimate of waiting time never divides to nothing."""
+MIN_LATENCY_S = 1e-4
+"""Lower bound of the mean latency, so that the estimate of a waiting time is never zero."""
+
+MAX_BACKOFF_S = 60.0
+"""Upper bound of a requested backoff, so that no target is excluded for good."""
 
-MOST_REST = 60.0
-"""Seconds; a longer rest is taken as this long, so that no target is shut out for good."""
 LATENCY_WEIGHT = 0.1
-"""Weight of the newest answer in the mean latency of a service."""
+"""Weight of the latest answer in a service's mean latency (exponential moving average)."""
 
 
 @dataclass(slots=True)
@@ -28,19 +29,19 @@
     Attributes
     ----------
     slots : int
-        How many requests of ours it may run at once.
+        Maximum number of concurrent requests from this entry.
     in_flight : int
-        How many it runs for us now.
+        Requests that it is running for this entry.
     policy_leaving : bool
-        The policy says that it takes no new work.
-    signal_until : float
-        Until then it takes no new work, because it said so itself, or the VM list or a peer did.
-    rest_until : float
-        Until then it wants nothing from this entry, which it turned away.
+        Its state in the policy is leaving: it accepts no new work.
+    reported_leaving_until : float
+        Until then it accepts no new work, as reported by itself, the VM list or a peer.
+    backoff_until : float
+        Until then this entry sends it nothing, because it shed a request and asked for a pause.
     digests_by_attempt : dict of int to bytes
-        What it runs, so that a crash leaves its suspects known.
+        Digests of the requests it is running: the suspects if it crashes.
     reserved : bool
-        It runs a suspect alone and takes nothing beside it.
+        It runs a suspected request in isolation and gets no other one.
     """
 
     target: Target
@@ -48,41 +49,41 @@
     ramp: Ramp
     in_flight: int = 0
     policy_leaving: bool = False
-    signal_until: float = 0.0
-    rest_until: float = 0.0
+    reported_leaving_until: float = 0.0
+    backoff_until: float = 0.0
     reserved: bool = False
     digests_by_attempt: dict[int, bytes] = field(default_factory=dict)
 
-    def leaving(self, now: float) -> bool:
-        """Tell whether it takes no new work."""
-        return self.policy_leaving or now < self.signal_until
+    def is_leaving(self, now: float) -> bool:
+        """Return whether the target accepts no new work."""
+        return self.policy_leaving or now < self.reported_leaving_until
 
-    def rest(self, seconds: float, now: float) -> None:
-        """Take a rest that it asks for; of several the latest end counts."""
-        self.rest_until = max(self.rest_until, now + min(seconds, MOST_REST))
+    def back_off(self, seconds: float, now: float) -> None:
+        """Send nothing for the time that the target asked for; the latest end applies."""
+        self.backoff_until = max(self.backoff_until, now + min(seconds, MAX_BACKOFF_S))
 
-    def free(self, now: float) -> int:
-        """Return how many more requests it may take now."""
-        if self.reserved or self.leaving(now) or now < self.rest_until:
+    def free_slots(self, now: float) -> int:
+        """Return how many more requests the target may get now."""
+        if self.reserved or self.is_leaving(now) or now < self.backoff_until:
             return 0
         return min(self.slots, self.ramp.limit(now)) - self.in_flight
 
 
 class Chooser(Protocol):
-    """How one of several targets with a free slot is chosen."""
+    """Strategy that chooses one of several targets with a free slot."""
 
     def choose(self, candidates: Sequence[OwnTarget], now: float) -> OwnTarget:
-        """Return one of ``candidates``, which are never empty."""
+        """Return one of ``candidates``, which is never empty."""
 
 
 class LeastInFlight:
-    """The target with the fewest requests of ours; chance decides between equals."""
+    """Choose the target with the smallest share of its slots in use; ties are broken at random."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
     def choose(self, candidates: Sequence[OwnTarget], now: float) -> OwnTarget:
-        """Return the candidate with the smallest part of its slots in use."""
+        """Return the candidate with the smallest share of its slots in use."""
         least = min(own.in_flight / own.slots for own in candidates)
         best = [own for own in candidates if own.in_flight / own.slots == least]
         return best[0] if len(best) == 1 else self._rng.choice(best)
@@ -91,8 +92,8 @@
 class OwnTargets:
     """The targets of one service that this entry may dispatch to.
 
-    A target that is no longer ours keeps its record until its last request has ended, so that
-    requests in flight stay counted.
+    A target that is assigned to another entry keeps its record until its last request has ended, so
+    that requests in flight stay counted.
     """
 
     def __init__(self, service: str, chooser: Chooser) -> None:
@@ -102,7 +103,7 @@
         self._chooser = chooser
 
     def assign(self, targets: Sequence[Target], slots_by_target: dict[str, int]) -> set[str]:
-        """Take a new assignment; return the ids of the targets that are new to this entry."""
+        """Apply a new assignment; return the ids of the targets that are new to this entry."""
         new = set()
         for target in targets:
             slots = slots_by_target.get(target.target_id, 0)
@@ -117,11 +118,11 @@
                 own.target, own.slots = target, slots
             if own is not None:
                 own.policy_leaving = target.state is TargetState.LEAVING
-        self._forget({target.target_id for target in targets})
+        self._remove_unused({target.target_id for target in targets})
         return new
 
-    def _forget(self, known: set[str]) -> None:
-        """Drop targets that are gone from the policy or not ours, once nothing runs on them."""
+    def _remove_unused(self, known: set[str]) -> None:
+        """Remove targets without requests that left the policy or belong to another entry."""
         for target_id, own in list(self.by_id.items()):
             if target_id not in known:
                 own.slots = 0
@@ -129,13 +130,13 @@
                 del self.by_id[target_id]
 
     def choose(self, work: Work, ejected: frozenset[str], now: float) -> OwnTarget | None:
-        """Return a target with a free slot for this request; None if there is none now."""
+        """Return a target with a free slot for this request, or None."""
         candidates = [
             own
             for own in self.by_id.values()
-            if own.free(now) > 0 and own.target.target_id not in work.failed_targets
+            if own.free_slots(now) > 0 and own.target.target_id not in work.failed_targets
         ]
-        if work.alone:
+        if work.isolated:
             candidates = [own for own in candidates if own.in_flight == 0]
         healthy = [own for own in candidates if own.target.target_id not in ejected]
         if not healthy:
@@ -145,7 +146,7 @@
     def started(self, own: OwnTarget, attempt_id: int, work: Work) -> None:
         """Count a dispatched request."""
         own.in_flight += 1
-        own.reserved = work.alone
+        own.reserved = work.isolated
         own.digests_by_attempt[attempt_id] = work.request.body_digest
         invariants.check("target-slots", own.in_flight <= max(own.slots, 1), own)
 
@@ -157,7 +158,7 @@
         invariants.check("target-in-flight", own.in_flight >= 0, own)
 
     def answered(self, own: OwnTarget, latency: float, now: float) -> None:
-        """Learn from a whole answer; ``latency`` in seconds."""
+        """Update the ramp and the mean latency after an answer; ``latency`` in seconds."""
         own.ramp.set_reference(self.mean_latency or None)
         own.ramp.answered(latency, now)
         if self.mean_latency == 0.0:
@@ -165,22 +166,22 @@
         else:
             self.mean_latency += LATENCY_WEIGHT * (latency - self.mean_latency)
 
-    def taking(self, now: float, without: Collection[str] = ()) -> bool:
-        """Tell whether any target of ours takes new work, those named ``without`` left aside."""
+    def accepts_work(self, now: float, excluded: Collection[str] = ()) -> bool:
+        """Return whether any target except those in ``excluded`` accepts new work."""
         return any(
-            own.slots > 0 and not own.leaving(now) and target_id not in without
+            own.slots > 0 and not own.is_leaving(now) and target_id not in excluded
             for target_id, own in self.by_id.items()
         )
 
-    def free(self, now: float) -> int:
-        """Return the free slots of all targets of ours."""
-        return sum(max(own.free(now), 0) for own in self.by_id.values())
+    def free_slots(self, now: float) -> int:
+        """Return the number of free slots over all targets."""
+        return sum(max(own.free_slots(now), 0) for own in self.by_id.values())
 
-    def wait_for(self, ahead: int, now: float) -> float:
+    def estimate_wait(self, ahead: int, now: float) -> float:
         """Estimate the seconds until a request with ``ahead`` others before it gets a slot."""
-        staying = [own for own in self.by_id.values() if own.slots and not own.leaving(now)]
-        if not staying:
+        accepting = [own for own in self.by_id.values() if own.slots and not own.is_leaving(now)]
+        if not accepting:
             return float("inf")
-        rest = max(0.0, min(own.rest_until for own in staying) - now)
-        slots = sum(own.slots for own in staying if own.rest_until <= now + rest)
-        return rest + (ahead + 1) * max(self.mean_latency, MIN_LATENCY) / slots
+        backoff = max(0.0, min(own.backoff_until for own in accepting) - now)
+        slots = sum(own.slots for own in accepting if own.backoff_until <= now + backoff)
+        return backoff + (ahead + 1) * max(self.mean_latency, MIN_LATENCY_S) / slots
--- a/briarspur/work.py
+++ b/briarspur/work.py
@@ -1,4 +1,4 @@
-"""A request inside the decision core: what each filter adds to it."""
+"""The state of a request inside the decision core."""
 
 from dataclasses import dataclass, field
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Classified:
-    """A request with its service, its class and the region its caller belongs to."""
+    """A request with its service, its rule, its caller's home region and its deadline."""
 
     request: Request
     service: Service
@@ -22,18 +22,18 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One try to have a request answered, by a target of our own or through another entry.
+    """One attempt at a request: at one of this entry's targets or through another entry.
 
     Attributes
     ----------
     target_id : str or None
-        The backend server; None if the request went to another entry.
+        The backend server; None if the request was forwarded to another entry.
     entry_id : str or None
-        The entry it went to; None if it went to a target of our own.
-    key_home : bool
-        It went to the home of its key, which alone decides about it.
-    began : bool
-        The answer's head has arrived.
+        The entry it was forwarded to; None if it was dispatched to a target.
+    to_key_home : bool
+        It was forwarded to the home of its key, the only entry that may decide about the key.
+    head_received : bool
+        The head of the answer has arrived.
     """
 
     attempt_id: int
@@ -43,8 +43,8 @@
     started: float
     target_id: str | None = None
     entry_id: str | None = None
-    key_home: bool = False
-    began: bool = False
+    to_key_home: bool = False
+    head_received: bool = False
 
 
 @dataclass(slots=True)
@@ -54,21 +54,22 @@
     Attributes
     ----------
     counted_at : float or None
-        When the shift budget counted it as traffic to ``region``; None if it was not sent on.
+        When the shift budget counted it as traffic to ``region``; None if it was not counted.
     key : Key or None
         Set if this entry is the home of the request's key.
-    tries : int
-        Attempts so far; the first one is paid by the caller, the others by the retry budget.
+    attempt_count : int
+        Attempts so far; those after the first one count against the retry budget.
     failed_targets : set of str
-        Targets that failed this request.
-    full_entries : set of str
-        Entries that refused it as not run.
-    passed : int
-        Bytes of the body already passed to the caller.
-    alone : bool
-        The request is suspected of crashing backend servers and runs alone on its target.
-    claiming : bool
-        The claim of its foreign key is on its way.
+        Targets on which an attempt at this request failed.
+    failed_entries : set of str
+        Entries through which an attempt at this request failed.
+    bytes_sent : int
+        Body bytes already sent to the caller.
+    isolated : bool
+        The request is suspected of crashing backend servers and needs a target without other
+        requests.
+    claim_pending : bool
+        The claim of its foreign key has been sent to the store and has no result yet.
     """
 
     request: Request
@@ -82,14 +83,14 @@
     counted_at: float | None = None
     key: Key | None = None
     attempt: Attempt | None = None
-    tries: int = 0
+    attempt_count: int = 0
     failed_targets: set[str] = field(default_factory=set)
-    full_entries: set[str] = field(default_factory=set)
-    passed: int = 0
-    caller_here: bool = True
-    alone: bool = False
+    failed_entries: set[str] = field(default_factory=set)
+    bytes_sent: int = 0
+    caller_connected: bool = True
+    isolated: bool = False
     queued: bool = False
-    claiming: bool = False
+    claim_pending: bool = False
 
     @property
     def kind(self) -> Kind:
@@ -98,5 +99,5 @@
 
     @property
     def priority(self) -> Priority:
-        """Return who goes first under overload."""
+        """Return the priority under overload."""
         return self.rule.priority
--- a/tests/httpfakes.py
+++ b/tests/httpfakes.py
@@ -90,15 +90,15 @@
         failure: Failure,
         now: float,
         retry_after: float | None = None,
-        passed: int = 0,
+        bytes_sent: int = 0,
         resumable: bool = False,
         crashed: bool = False,
     ) -> list[Action]:
-        self.events.append(("failed", failure, retry_after, passed, resumable, crashed))
+        self.events.append(("failed", failure, retry_after, bytes_sent, resumable, crashed))
         request = self.requests_by_attempt[attempt_id]
         if resumable and self.resume:
-            return [self.dispatch(request, now, passed)]
-        if passed:
+            return [self.dispatch(request, now, bytes_sent)]
+        if bytes_sent:
             return [Abort(request.request_id, Refusal(Code.ANSWER_CUT_SHORT))]
         proven = failure in (Failure.NOT_SENT, Failure.SHED)
         code = Code.OVERLOADED if proven else Code.OUTCOME_UNKNOWN
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -16,7 +16,7 @@
 
 
 class ServeTest(unittest.TestCase):
-    """One entry with targets of its own."""
+    """One entry that owns targets."""
 
     def setUp(self) -> None:
         invariants.strict = True
@@ -37,10 +37,10 @@
         self.assertEqual(actions[0].refusal.code, Code.UNKNOWN_SERVICE)
 
     def test_late_answer_of_a_superseded_attempt_is_dropped(self) -> None:
-        """A caller would get two answers mixed: its first target's, late, and its second's.
+        """Guards against sending a caller parts of the answers of two targets.
 
-        The first attempt breaks, the request is sent again, then the first target's answer arrives
-        after all.
+        The connection of the first attempt breaks, the request is retried, and then the answer of
+        the first attempt arrives after all.
         """
         first = self.bench.arrive("GET", "/times/today")[0]
         second = self.core.attempt_failed(first.attempt_id, Failure.LOST, 0.1)[0]
@@ -49,19 +49,19 @@
         self.assertEqual(self.core.answer_began(first.attempt_id, 200, 0.2), [])
         self.assertEqual(self.core.answer_ended(first.attempt_id, None, 1, 0.2), [])
 
-    def test_bulk_uses_idle_targets_that_nobody_else_could_use(self) -> None:
-        """Partners are refused although the fare targets stand idle.
+    def test_bulk_uses_idle_targets_that_no_other_service_could_use(self) -> None:
+        """Guards against refusing bulk requests while their targets are idle.
 
-        An entry owns targets of some services only. Bulk had to leave free a part of the region's
-        limit for the others, also where no target of theirs could have used it.
+        An entry owns targets of some services only. Bulk requests left a part of the region's
+        in-flight limit free for other services, even if none of their targets could have used it.
         """
         self.assertIsInstance(self._second_fare(booking="leaving")[0], Dispatch)
 
-    def test_bulk_leaves_what_others_could_use(self) -> None:
+    def test_bulk_leaves_capacity_that_other_services_could_use(self) -> None:
         self.assertEqual(self._second_fare(booking="active"), [])
 
     def _second_fare(self, booking: str) -> list[Any]:
-        """Use three of the four units held, one for a fare; ask for another fare."""
+        """Use three of the four units held, one of them for a fare; send another fare request."""
         document = small_policy(entries=1)
         document["regions"]["north"]["in_flight_limit"] = 8
         document["services"]["fares"] = {"path": "/fares", "rules": [{"priority": "bulk"}]}
@@ -78,7 +78,7 @@
             self.assertIsInstance(bench.arrive("GET", path)[0], Dispatch)
         return list(bench.arrive("GET", "/fares/2"))
 
-    def test_full_targets_make_requests_wait_and_then_run(self) -> None:
+    def test_requests_queue_while_targets_are_full_and_run_later(self) -> None:
         actions = [self.bench.arrive("GET", f"/times/{n}") for n in range(4)]
         sent = [a for batch in actions for a in batch if isinstance(a, Dispatch)]
         self.assertEqual(len(sent), 2)
@@ -87,8 +87,8 @@
         self.assertIsInstance(next_sent[0], Dispatch)
 
 
-class RestTest(unittest.TestCase):
-    """A backend server that turned a request away is left alone for as long as it asks."""
+class BackoffTest(unittest.TestCase):
+    """A backend server that shed a request gets none for as long as its Retry-After says."""
 
     def setUp(self) -> None:
         invariants.strict = True
@@ -96,8 +96,8 @@
         self.bench = Bench(self.core)
         self.targets = self.core.placement.targets_by_service["times"]
 
-    def shed_by(self, own: OwnTarget, rest: float, now: float) -> None:
-        """Let a target turn away requests until it has turned one away itself."""
+    def shed_by(self, own: OwnTarget, retry_after: float, now: float) -> None:
+        """Send a request that only this target can get, and let the target shed it."""
         others = [each for each in self.targets.by_id.values() if each is not own]
         for each in others:
             each.reserved = True
@@ -105,64 +105,65 @@
         for each in others:
             each.reserved = False
         assert isinstance(sent, Dispatch)
-        self.core.attempt_failed(sent.attempt_id, Failure.SHED, now, retry_after=rest)
+        self.core.attempt_failed(sent.attempt_id, Failure.SHED, now, retry_after=retry_after)
 
-    def test_it_gets_nothing_until_the_latest_end_it_asked_for(self) -> None:
-        """Guards against servers in need that get each request all the same."""
+    def test_target_gets_no_request_until_the_latest_requested_end(self) -> None:
+        """Guards against sending requests to a server that asked for a pause."""
         own = next(iter(self.targets.by_id.values()))
         self.shed_by(own, 3.0, 1.0)
-        own.rest(0.5, 1.2)
-        self.assertEqual(0, own.free(3.9))
-        self.assertGreater(own.free(4.0), 0)
+        own.back_off(0.5, 1.2)
+        self.assertEqual(0, own.free_slots(3.9))
+        self.assertGreater(own.free_slots(4.0), 0)
 
-    def test_callers_wait_or_hear_of_the_first_that_is_free(self) -> None:
-        """Guards against an estimate that takes resting servers for free ones."""
+    def test_estimated_wait_ends_when_the_first_target_is_available(self) -> None:
+        """Guards against an estimate that counts servers backing off as available."""
         for number, own in enumerate(self.targets.by_id.values()):
-            own.rest(2.0 + number, 1.0)
-        self.assertGreaterEqual(self.targets.wait_for(0, 1.5), 1.5)
-        self.assertLess(self.targets.wait_for(0, 1.5), 1.6)
+            own.back_off(2.0 + number, 1.0)
+        self.assertGreaterEqual(self.targets.estimate_wait(0, 1.5), 1.5)
+        self.assertLess(self.targets.estimate_wait(0, 1.5), 1.6)
 
 
 class LeavingTest(unittest.TestCase):
-    """A leaving backend server gets no new work, whichever way that becomes known."""
+    """A leaving backend server gets no new work, whatever the source of that information."""
 
     def setUp(self) -> None:
         invariants.strict = True
 
-    def asked(self, core: Core, now: float = 0.0) -> list[Any]:
+    def send_request(self, core: Core, now: float = 0.0) -> list[Any]:
         return list(Bench(core).arrive("GET", f"/times/{now}", now))
 
-    def test_by_the_policy(self) -> None:
-        """A server that operators drain for maintenance goes on getting timetables."""
+    def test_leaving_by_policy(self) -> None:
+        """Guards against new requests to a server that operators drain for maintenance."""
         document = small_policy(entries=1)
         for target in document["targets"].values():
             target["state"] = "leaving"
         core = make_core("entry-1", random.Random(1), document=document)
-        self.assertNotIsInstance(self.asked(core)[0], Dispatch)
+        self.assertNotIsInstance(self.send_request(core)[0], Dispatch)
 
-    def test_by_its_own_word_until_that_has_aged(self) -> None:
-        """A server that stops by itself goes on getting timetables, or never gets any again."""
+    def test_leaving_by_its_own_notice_until_the_notice_expires(self) -> None:
+        """Guards against new requests to a server that is stopping, or none ever again."""
         core = make_core("entry-1", random.Random(1))
         for target_id in core.placement.targets_by_service["times"].by_id:
             core.exchange.target_leaving(target_id, 0.0, 0.0)
-        self.assertNotIsInstance(self.asked(core, 1.0)[0], Dispatch)
-        self.assertIsInstance(self.asked(core, LEAVING_LIFETIME_S + 1.0)[0], Dispatch)
+        self.assertNotIsInstance(self.send_request(core, 1.0)[0], Dispatch)
+        self.assertIsInstance(self.send_request(core, LEAVING_LIFETIME_S + 1.0)[0], Dispatch)
 
-    def test_by_a_peer(self) -> None:
+    def test_leaving_by_a_notice_from_a_peer(self) -> None:
         core = make_core("entry-1", random.Random(1))
         ids = core.placement.targets_by_service["times"].by_id
         notices = tuple(LeavingNotice(target_id, 0.5) for target_id in ids)
         core.exchange.heard(News(leaving=notices), 1.0)
-        self.assertNotIsInstance(self.asked(core, 1.0)[0], Dispatch)
+        self.assertNotIsInstance(self.send_request(core, 1.0)[0], Dispatch)
 
 
 class TakeoverTest(unittest.TestCase):
-    """Two owners of a target for a moment."""
+    """A target that briefly has two owners."""
 
     def test_slots_are_reduced_until_the_old_owners_requests_have_ended(self) -> None:
-        """A server with three slots is asked to run six requests, and sheds a booking.
+        """Guards against using a server's slots twice, so that it sheds a booking.
 
-        Its owner is cut off with three requests running; the new owner uses all slots at once.
+        The owner of a server with three slots is cut off while three requests run; the new owner
+        uses all slots at once.
         """
         invariants.strict = True
         document = small_policy(targets=6, entries=2)
@@ -182,13 +183,14 @@
 
 
 class CrashTest(unittest.TestCase):
-    """One crash is one crash."""
+    """Several connections broken by one crash count as one crash."""
 
-    def test_a_late_break_of_an_old_crash_blames_nobody_new(self) -> None:
-        """A timetable is refused for ten minutes as if it killed backend servers.
+    def test_late_broken_connection_of_an_old_crash_adds_no_suspects(self) -> None:
+        """Guards against quarantining a harmless request for ten minutes.
 
-        A target with two requests crashes. The break of the first connection is seen, the target
-        comes back and gets a timetable, and only then the break of the second one is seen.
+        A target with two requests crashes. The entry notices that the first connection broke, the
+        target restarts and gets another request, and only then the entry notices that the second
+        connection broke.
         """
         invariants.strict = True
         core = make_core("entry-1", random.Random(1))
@@ -208,7 +210,7 @@
 
 
 class ShiftTest(unittest.TestCase):
-    """Traffic of a lost region moves no faster than its cap."""
+    """Traffic of a lost region shifts no faster than its cap."""
 
     WINDOW = 5.0
     SHARE = 20
@@ -221,24 +223,24 @@
         self.core.view_changed(MemberView(south_only), 0.0)
         self.bench = Bench(self.core)
 
-    def test_moved_requests_beyond_the_cap_are_refused_at_once(self) -> None:
+    def test_shifted_requests_beyond_the_cap_are_refused_immediately(self) -> None:
         codes = self._codes(self.SHARE + 5, now=1.0)
         self.assertEqual(codes.count(Code.SHIFT_CAPPED), 5)
 
-    def test_refused_requests_do_not_raise_what_may_move_next(self) -> None:
-        """A region that was full is flooded beyond its cap when it has room again.
+    def test_refused_requests_do_not_raise_the_next_windows_allowance(self) -> None:
+        """Guards against overloading a full region beyond its cap once it has room again.
 
-        The north is lost and the south, full, refuses what moves there for two windows. Counted as
-        carried, the refused requests would let as many more through in the third window.
+        The north is lost, and the full south refuses the shifted requests for two windows. If these
+        counted as served, the third window would admit as many more.
         """
         for window in range(2):
             self._codes(3 * self.SHARE, now=window * self.WINDOW + 1.0)
         codes = self._codes(4 * self.SHARE, now=2 * self.WINDOW + 1.0)
         passed = [code for code in codes if code is not Code.SHIFT_CAPPED]
-        # Two requests hold the two targets' first slots from the first window on.
+        # Two requests occupy the first slots of the two targets since the first window.
         self.assertLessEqual(len(passed), self.SHARE + 2)
 
     def _codes(self, count: int, now: float) -> list[Code | None]:
-        """Let callers of the north send requests; return the code of each refusal."""
+        """Send requests from callers in the north; return the code of each refusal."""
         batches = [self.bench.arrive("GET", f"/times/{n}", now) for n in range(count)]
         return [getattr(getattr(b[0], "refusal", None), "code", None) for b in batches]
--- a/tests/test_core_machine.py
+++ b/tests/test_core_machine.py
@@ -147,7 +147,7 @@
         assert not world.open_calls, world.open_calls
         for core in world.cores.values():
             assert core.account.in_use == 0
-            assert core.open_requests() == 0, core.me
+            assert core.open_requests() == 0, core.entry_id
 
 
 CoreMachine.TestCase.settings = settings(
--- a/tests/test_core_once.py
+++ b/tests/test_core_once.py
@@ -19,7 +19,7 @@
 from tests.bench import WALL, Bench, body, make_core, make_view
 
 DEADLINE_S = 2.0
-"""Of a booking, as in the default of the policy."""
+"""Deadline of a booking, as in the policy's default."""
 
 
 class OnceOnlyTest(unittest.TestCase):
@@ -35,7 +35,7 @@
         refused = self.bench.arrive("POST", "/booking/new")[0]
         self.assertEqual(refused.refusal.code, Code.KEY_REQUIRED)
 
-    def test_repeat_joins_and_gets_the_same_answer(self) -> None:
+    def test_repeat_joins_the_running_request_and_gets_the_same_answer(self) -> None:
         sent = self.bench.arrive("POST", "/booking/new", key=self.key)[0]
         self.assertEqual(self.bench.arrive("POST", "/booking/new", key=self.key), [])
         answer = Answer(201, (), b"booked")
@@ -45,8 +45,8 @@
         replay = self.bench.arrive("POST", "/booking/new", key=self.key)[0]
         self.assertIsInstance(replay, Reply)
 
-    def test_foreign_key_claimed_by_another_entry_goes_there(self) -> None:
-        """A caller would be told that nobody knows its order, although the other entry does."""
+    def test_request_is_forwarded_to_the_entry_that_claimed_its_foreign_key(self) -> None:
+        """Guards against an unknown outcome for an order whose outcome another entry knows."""
         claim = self.bench.arrive("POST", "/booking/new", key="a-foreign-key")[0]
         self.assertEqual(self.bench.arrive("POST", "/booking/new", key="a-foreign-key"), [])
         other = make_view(1).by_id["entry-2"]
@@ -59,7 +59,7 @@
             self.assertEqual(action.entry, other.address)
             self.assertFalse(action.dispatch_only)
 
-    def test_foreign_key_claimed_by_a_gone_entry_is_looked_up(self) -> None:
+    def test_outcome_is_fetched_if_a_terminated_entry_claimed_the_foreign_key(self) -> None:
         claim = self.bench.arrive("POST", "/booking/new", key="a-foreign-key")[0]
         [fetch] = self.core.claim_settled(
             claim.request_id, SettledClaim(ClaimResult.TAKEN, "f" * 16), 0.1
@@ -68,17 +68,17 @@
         [refused] = self.core.outcome_fetched(claim.request_id, False, None, 0.2)
         self.assertEqual(refused.refusal.code, Code.HOME_GONE)
 
-    def test_foreign_key_of_an_older_claim_of_our_own_is_not_run(self) -> None:
+    def test_foreign_key_that_this_process_claimed_earlier_is_not_run(self) -> None:
         claim = self.bench.arrive("POST", "/booking/new", key="a-foreign-key")[0]
-        mine = SettledClaim(ClaimResult.TAKEN, self.core.keys.incarnation)
-        [refused] = self.core.claim_settled(claim.request_id, mine, 0.1)
+        own_claim = SettledClaim(ClaimResult.TAKEN, self.core.keys.incarnation)
+        [refused] = self.core.claim_settled(claim.request_id, own_claim, 0.1)
         self.assertEqual(refused.refusal.code, Code.HOME_GONE)
 
-    def test_connection_lost_after_dispatch_is_never_tried_again(self) -> None:
-        """A passenger would be booked twice.
+    def test_booking_is_never_retried_if_its_connection_is_lost_after_dispatch(self) -> None:
+        """Guards against booking a passenger twice.
 
-        The backend server records the booking, its connection breaks before the answer, and the
-        entry sends the booking to another target.
+        The backend server records the booking, the connection breaks before the answer arrives, and
+        the entry sends the booking to another target.
         """
         sent = self.bench.arrive("POST", "/booking/new", key=self.key)[0]
         ended = self.core.attempt_failed(sent.attempt_id, Failure.LOST, 0.1)
@@ -86,7 +86,7 @@
         again = self.bench.arrive("POST", "/booking/new", key=self.key)[0]
         self.assertEqual(again.refusal.code, Code.OUTCOME_UNKNOWN)
 
-    def test_shed_booking_is_tried_elsewhere_and_refused_as_not_run_at_last(self) -> None:
+    def test_shed_booking_is_retried_elsewhere_and_finally_refused_as_not_run(self) -> None:
         sent = self.bench.arrive("POST", "/booking/new", key=self.key)[0]
         sent = self.core.attempt_failed(sent.attempt_id, Failure.SHED, 0.1)[0]
         self.assertIsInstance(sent, Dispatch)
@@ -97,11 +97,11 @@
         self.assertIsInstance(refused, Refuse)
         self.assertEqual(refused.refusal.code, Code.OVERLOADED)
 
-    def test_owner_that_dispatches_for_a_home_never_tries_a_booking_again(self) -> None:
-        """A passenger would be booked twice.
+    def test_owner_that_dispatches_for_a_home_never_retries_a_booking(self) -> None:
+        """Guards against booking a passenger twice.
 
-        The key's home has no target of its own and sends the booking to an owner, which holds no
-        memory of the key. The target records it and its connection breaks.
+        The key's home owns no target and forwards the booking to an owner, which keeps no record of
+        the key. The target records the booking and the connection to it breaks.
         """
         fields = {"forwarded_by": "entry-2", "dispatch_only": True, "key": self.key}
         sent = self.bench.arrive("POST", "/booking/new", **fields)[0]
@@ -109,10 +109,10 @@
         self.assertEqual(ended[0].refusal.code, Code.OUTCOME_UNKNOWN)
 
     def test_resumed_entry_dispatches_nothing_past_its_deadline(self) -> None:
-        """A booking is made long after its caller gave up, and a boat goes out for nobody.
+        """Guards against making a booking long after its caller gave up.
 
-        The entry is paused with a booking in its queue. When it resumes, the answer of another
-        request frees a slot before the queue is looked through.
+        The entry's process is paused with a booking in the queue. When it resumes, the answer to
+        another request frees a slot before overdue requests are removed from the queue.
         """
         running = [self.bench.arrive("GET", f"/booking/{n}")[0] for n in range(2)]
         self.assertEqual(self.bench.arrive("POST", "/booking/new", key=self.key), [])
@@ -128,11 +128,11 @@
         self.assertTrue(sent.relay_refusals)
         self.assertFalse(sent.dispatch_only)
 
-    def test_claim_whose_caller_left_can_still_be_used(self) -> None:
-        """A booking can never be made with its key.
+    def test_claim_is_still_usable_after_its_caller_disconnected(self) -> None:
+        """Guards against a key with which a booking can never be made.
 
-        The caller hangs up while its claim is on the way to the store and comes back; the claim is
-        there, and a second one would be refused.
+        The caller disconnects while the claim is on its way to the store, and then repeats the
+        request. The claim exists by then, so a second one would be refused.
         """
         claim = self.bench.arrive("POST", "/booking/new", key="my-own-key")[0]
         self.core.caller_gone(claim.request_id, 0.1)
@@ -140,11 +140,11 @@
         again = self.bench.arrive("POST", "/booking/new", key="my-own-key")[0]
         self.assertIsInstance(again, Dispatch)
 
-    def test_callers_of_a_hanging_claim_are_answered_at_their_deadlines(self) -> None:
-        """A builder with an own key hears nothing for 6 s and does not know whether to ask again.
+    def test_callers_are_answered_at_their_deadlines_if_a_claim_hangs(self) -> None:
+        """Guards against leaving a caller with a foreign key without an answer for 6 s.
 
-        The store hangs. The claim is tried three times with the timeout of a store call, each as
-        long as the deadline; whoever joins it waits as long. The claim is made after all.
+        The store hangs. The claim is attempted three times, each with the timeout of a store call,
+        which is as long as the deadline; joined callers wait as long. Finally the claim succeeds.
         """
         claim = self.bench.arrive("POST", "/booking/new", key="my-own-key")[0]
         joined = self.bench.arrive("POST", "/booking/new", key="my-own-key", now=1.0)
@@ -163,10 +163,11 @@
         again = self.bench.arrive("POST", "/booking/new", key="my-own-key", now=6.0)[0]
         self.assertIsInstance(again, Dispatch)
 
-    def test_caller_of_a_hanging_outcome_is_answered_at_its_deadline(self) -> None:
-        """A passenger whose entry died waits for 4 s while the store is silent.
+    def test_caller_is_answered_at_its_deadline_if_fetching_the_outcome_hangs(self) -> None:
+        """Guards against letting a caller whose entry died wait for 4 s while the store hangs.
 
-        What the gone entry left is read in two calls, and each waits for the store's timeout.
+        The outcome that the terminated entry stored is read in two calls, and each lasts as long as
+        the timeout of a store call.
         """
         key = self.bench.key(incarnation="f" * 16)
         [fetch] = self.bench.arrive("POST", "/booking/new", key=key)
@@ -175,11 +176,11 @@
         self.assertEqual(refused.refusal.code, Code.STORE_UNAVAILABLE)
         self.assertEqual(self.core.outcome_fetched(fetch.request_id, False, None, 4.0), [])
 
-    def test_request_sent_to_the_holder_of_a_claim_is_not_refused_as_waiting(self) -> None:
-        """A passenger is told that a booking was not run which another entry is just making.
+    def test_request_forwarded_to_the_claim_holder_is_not_refused_as_waiting(self) -> None:
+        """Guards against reporting "not run" for a booking that another entry is making.
 
-        The claim is another entry's; the request and the one that joined it are sent there and
-        are still on their way when their deadlines pass.
+        Another entry holds the claim; the request and the one that joined it are forwarded there
+        and are still on their way when their deadlines pass.
         """
         claim = self.bench.arrive("POST", "/booking/new", key="a-foreign-key")[0]
         self.bench.arrive("POST", "/booking/new", key="a-foreign-key")
@@ -188,10 +189,10 @@
         self.core.claim_settled(claim.request_id, taken, 0.1)
         self.assertEqual(self.core.tick(DEADLINE_S, WALL + DEADLINE_S), [])
 
-    def test_all_callers_of_a_claim_leave(self) -> None:
-        """A stopping entry never ends: it waits for a request whose caller is long gone.
+    def test_request_is_closed_if_all_callers_of_a_claim_disconnect(self) -> None:
+        """Guards against a stopping entry that waits forever for a request without a caller.
 
-        Two callers wait for one claim; both hang up before its answer comes.
+        Two callers wait for one claim; both disconnect before its result arrives.
         """
         claim = self.bench.arrive("POST", "/booking/new", key="my-own-key")[0]
         self.bench.arrive("POST", "/booking/new", key="my-own-key")
@@ -201,23 +202,23 @@
         self.assertEqual(self.core.open_requests(), 0)
 
     def test_unreachable_home_leaves_the_outcome_unknown(self) -> None:
-        """A passenger is told 'not run' of a booking that stands, and books again.
+        """Guards against reporting "not run" for a recorded booking, so that it is made twice.
 
-        The first copy reached the key's home, which was then cut off; the repeat comes to another
-        entry, which can't reach the home and knows nothing of the first copy.
+        The first copy reached the key's home, which was then cut off; the repeat arrives at another
+        entry, which can't reach the home and doesn't know of the first copy.
         """
         key = self.bench.key(incarnation=body(2))
         sent = self.bench.arrive("POST", "/booking/new", key=key)[0]
         ended = self.core.attempt_failed(sent.attempt_id, Failure.NOT_SENT, 0.1)[0]
         self.assertIs(CODES[ended.refusal.code].ran, Ran.UNKNOWN)
 
-    def test_key_of_a_gone_entry_is_run_by_nobody(self) -> None:
-        """A passenger would be booked twice.
+    def test_key_of_a_terminated_entry_is_never_run(self) -> None:
+        """Guards against booking a passenger twice.
 
         The home dispatched the booking and died; the repeat reaches another entry, which runs it.
         """
         key = self.bench.key(incarnation="f" * 16)
-        asked = self.bench.arrive("POST", "/booking/new", key=key)[0]
-        self.assertIsInstance(asked, FetchOutcome)
-        ended = self.core.outcome_fetched(asked.request_id, False, None, 0.1)
+        fetch = self.bench.arrive("POST", "/booking/new", key=key)[0]
+        self.assertIsInstance(fetch, FetchOutcome)
+        ended = self.core.outcome_fetched(fetch.request_id, False, None, 0.1)
         self.assertEqual(ended[0].refusal.code, Code.HOME_GONE)
--- a/tests/world.py
+++ b/tests/world.py
@@ -194,7 +194,7 @@
     def _tell_sender(self, hop: Hop, failure: Failure) -> None:
         core = self.cores.get(hop.sender or "")
         if core is not None and core.keys.incarnation == hop.sender_incarnation:
-            self.carry_out(core.me, core.attempt_failed(hop.attempt_id, failure, self.now))
+            self.carry_out(core.entry_id, core.attempt_failed(hop.attempt_id, failure, self.now))
 
     # Backend servers
 
@@ -255,11 +255,11 @@
         return run.incarnation == core.keys.incarnation and run.attempt_id == attempt_id
 
     def _dispatch(self, core: Core, action: Dispatch) -> None:
-        hop = self.hop_by_request.get((core.me, action.request_id))
+        hop = self.hop_by_request.get((core.entry_id, action.request_id))
         key = hop.request.key if hop else self.key_by_call.get(action.request_id)
         self.runs.append(
             Run(
-                core.me,
+                core.entry_id,
                 core.keys.incarnation,
                 action.attempt_id,
                 action.target.target_id,
@@ -270,11 +270,11 @@
         )
 
     def _forward(self, core: Core, action: Forward) -> None:
-        hop = self.hop_by_request[core.me, action.request_id]
+        hop = self.hop_by_request[core.entry_id, action.request_id]
         request = replace(
             hop.request,
-            request_id=f"{core.me}-{core.keys.incarnation[-4:]}-{action.attempt_id}",
-            forwarded_by=core.me,
+            request_id=f"{core.entry_id}-{core.keys.incarnation[-4:]}-{action.attempt_id}",
+            forwarded_by=core.entry_id,
             dispatch_only=action.dispatch_only,
             deadline=action.deadline,
         )
@@ -282,7 +282,7 @@
             Hop(
                 request,
                 action.entry.entry_id,
-                core.me,
+                core.entry_id,
                 action.attempt_id,
                 action.relay_refusals,
                 core.keys.incarnation,
@@ -311,7 +311,7 @@
         if hop is not None and core is not None:
             del self.open_calls[call]
             self.steps["hang-up"] += 1
-            self.carry_out(core.me, core.caller_gone(call, self.now))
+            self.carry_out(core.entry_id, core.caller_gone(call, self.now))
 
     def _answer_hop(
         self, entry_id: str, request_id: str, code: Code, answer: Answer | None
@@ -330,7 +330,7 @@
             return
         ran = CODES[code].ran
         failure = Failure.SHED if ran is Ran.NO else Failure.LOST
-        self.carry_out(core.me, core.attempt_failed(hop.attempt_id, failure, self.now))
+        self.carry_out(core.entry_id, core.attempt_failed(hop.attempt_id, failure, self.now))
 
     def _relay(self, core: Core, hop: Hop, code: Code, answer: Answer | None) -> None:
         """Pass an answer, or the refusal of a key's home, on to the caller of the first entry."""
@@ -338,9 +338,9 @@
         for action in began:
             if isinstance(action, Begin):
                 relayed = answer or Answer(503, (), b"")
-                self._answer_hop(core.me, action.request_id, code, relayed)
+                self._answer_hop(core.entry_id, action.request_id, code, relayed)
         done = core.answer_ended(hop.attempt_id, answer, 4, self.now)
-        self.carry_out(core.me, done)
+        self.carry_out(core.entry_id, done)
 
     # Time
 
