--- a/briarspur/answers.py
+++ b/briarspur/answers.py
@@ -1,4 +1,4 @@
-"""What the head of another's answer says of the request."""
+"""Interpret the head of an answer from a backend server or another entry."""
 
 import re
 from dataclasses import dataclass
@@ -12,10 +12,10 @@
 
 __all__ = [
     "Declined",
-    "continues",
-    "declined",
+    "is_continuation",
     "is_draining",
     "is_resumable",
+    "parse_declined",
     "strong_etag",
 ]
 
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Declined:
-    """The receiver answered that it did not run the request, gave it up, or does not know.
+    """An answer that the request was not run, was abandoned, or has an unknown outcome.
 
     Attributes
     ----------
     code : Code or None
-        What another entry said; None from a backend server.
+        The code that another entry sent; None from a backend server.
     """
 
     failure: Failure
@@ -41,22 +41,22 @@
     code: Code | None = None
 
 
-def declined(head: AnswerHead, from_entry: bool) -> Declined | None:
-    """Return what the head says if the request was not surely run; None if it is an answer.
+def parse_declined(head: AnswerHead, from_entry: bool) -> Declined | None:
+    """Return a :class:`Declined` if the request was possibly not run; None for an answer.
 
     Parameters
     ----------
     from_entry : bool
-        The answer came from another entry, which must say by its headers what became of the
-        request; an answer that lacks them proves nothing.
+        The answer came from another entry, whose headers must state the outcome of the request;
+        without these headers the outcome is unknown.
     """
     retry_after = names.retry_after_of(head.headers)
     if not from_entry:
-        said = names.last_value(head.headers, names.NOT_RUN)
-        if head.status == SERVICE_UNAVAILABLE and said is not None and said.lower() == b"true":
+        value = names.last_value(head.headers, names.NOT_RUN)
+        if head.status == SERVICE_UNAVAILABLE and value is not None and value.lower() == b"true":
             return Declined(Failure.SHED, retry_after)
         if head.status == GATEWAY_TIMEOUT:
-            # It gave up at the deadline we sent; passed on, this would count as a whole answer.
+            # It gave up at the deadline that this entry sent; relayed, it would count as an answer.
             return Declined(Failure.DEADLINE, retry_after)
         return None
     ran = names.last_value(head.headers, names.RAN)
@@ -74,19 +74,19 @@
 
 
 def is_draining(head: AnswerHead) -> bool:
-    """Return whether a backend server says that it takes no new work after this request."""
-    said = names.last_value(head.headers, names.DRAINING)
-    return said is not None and said.lower() == b"true"
+    """Return whether a backend server reports that it accepts no requests after this one."""
+    value = names.last_value(head.headers, names.DRAINING)
+    return value is not None and value.lower() == b"true"
 
 
 def strong_etag(headers: Headers) -> bytes | None:
-    """Return the entity tag if it is strong: equal only for equal bytes."""
+    """Return the entity tag if it is strong, i.e. equal only for identical bytes."""
     etag = names.last_value(headers, b"ETag")
     return etag if etag is not None and etag.startswith(b'"') else None
 
 
 def is_resumable(head: AnswerHead) -> bool:
-    """Return whether a body that was cut can be continued by Range and If-Range."""
+    """Return whether a truncated body can be resumed with Range and If-Range."""
     ranges = names.last_value(head.headers, b"Accept-Ranges")
     return (
         head.status == OK
@@ -97,11 +97,11 @@
     )
 
 
-def continues(first: AnswerHead, head: AnswerHead, resume_at: int) -> bool:
-    """Return whether ``head`` begins the rest of the body that ``first`` began.
+def is_continuation(first: AnswerHead, head: AnswerHead, resume_at: int) -> bool:
+    """Return whether ``head`` starts the rest of the body that ``first`` started.
 
-    A backend server that lost the old file, or never had it, sends another entity or the whole
-    one; joined to the part already passed on, that would be a corrupt file that looks complete.
+    A backend server without the same version of the file sends another entity or the whole file.
+    Appended to the part already relayed, that would be a corrupt file that looks complete.
     """
     match = CONTENT_RANGE.fullmatch(names.last_value(head.headers, b"Content-Range") or b"")
     if head.status != PARTIAL_CONTENT or match is None:
--- a/briarspur/callerrequest.py
+++ b/briarspur/callerrequest.py
@@ -9,7 +9,7 @@
 
 from briarspur import headers as names
 from briarspur.answerhead import AnswerHead
-from briarspur.attempts import Inbound
+from briarspur.attempts import InboundRequest
 from briarspur.channel import CallerChannel
 from briarspur.codes import CODES, Code
 from briarspur.heldrequest import Flow, FlowProducer, HeldRequest
@@ -25,7 +25,7 @@
 class Arrivals(Protocol):
     """Who takes requests; :class:`briarspur.carry.Carrier` in a daemon."""
 
-    def arrive(self, inbound: Inbound) -> None:
+    def arrive(self, inbound: InboundRequest) -> None:
         """Take a request; its caller hears of the answer."""
 
     def caller_gone(self, request_id: str) -> None:
@@ -125,7 +125,7 @@
         request = read.ok
         self.request_id = request.request_id
         self._waiting_id = request.request_id
-        self._owner.arrivals.arrive(Inbound(request, raw.headers, raw.body, self))
+        self._owner.arrivals.arrive(InboundRequest(request, raw.headers, raw.body, self))
 
     def _send_head(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> None:
         self.setResponseCode(status)
--- a/briarspur/carry.py
+++ b/briarspur/carry.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from briarspur import logs
-from briarspur.attempts import Inbound, OpenAttempt, OpenRequest
+from briarspur.attempts import InboundRequest, OpenAttempt, OpenRequest
 from briarspur.backend import Outgoing
 from briarspur.codes import CODES, Code
 from briarspur.interfaces import (
@@ -99,7 +99,7 @@
         """Requests that wait for an answer or run on without their caller."""
         return len(self._requests_by_id)
 
-    def arrive(self, inbound: Inbound) -> None:
+    def arrive(self, inbound: InboundRequest) -> None:
         """Take a request from the server; its caller hears of the answer."""
         now = self._clock.seconds()
         request = inbound.request
@@ -116,7 +116,7 @@
         # The answer of a once-only request must still be recorded: its attempts run on, reading
         # at full speed, since a caller that is gone would hold them for ever.
         for attempt in open_request.attempts_by_id.values():
-            attempt.release("caller")
+            attempt.resume("caller")
         self.carry_out(self._core.caller_gone(request_id, self._clock.seconds()))
         self._forget_if_done(open_request)
 
@@ -129,15 +129,15 @@
         self.carry_out(actions)
         return passing
 
-    def part_passed(self, attempt: OpenAttempt, size: int) -> None:
+    def body_part_sent(self, attempt: OpenAttempt, size: int) -> None:
         """Pace the link the bytes came over."""
         action = attempt.action
         if not isinstance(action, Dispatch):
             return
         pause = self._pacer.take(action.region, action.priority, size, self._clock.seconds())
         if pause > 0.0:
-            attempt.hold("link")
-            self._clock.callLater(pause, attempt.release, "link")
+            attempt.pause("link")
+            self._clock.callLater(pause, attempt.resume, "link")
 
     def target_leaving(self, target_id: str) -> None:
         """Pass on that a backend server said it takes no new work."""
@@ -255,7 +255,7 @@
     def _begin(self, action: Begin) -> None:
         attempt = self._attempts_by_id.get(action.attempt_id)
         if attempt is not None:
-            attempt.pass_on()
+            attempt.relay()
 
     def _reply(self, action: Reply) -> None:
         open_request = self._requests_by_id.get(action.request_id)
--- a/briarspur/notready.py
+++ b/briarspur/notready.py
@@ -1,6 +1,6 @@
 """Refuses requests for as long as an entry cannot decide on them."""
 
-from briarspur.attempts import Inbound
+from briarspur.attempts import InboundRequest
 from briarspur.codes import Code
 from briarspur.refusal import Refusal
 
@@ -12,7 +12,7 @@
 class NotReady:
     """Takes requests before there is a policy."""
 
-    def arrive(self, inbound: Inbound) -> None:
+    def arrive(self, inbound: InboundRequest) -> None:
         """Refuse a request at once."""
         # Another entry may have run an earlier copy of a keyed request, so only one without a key
         # may be called not run here.
