--- a/briarspur/placement.py
+++ b/briarspur/placement.py
@@ -15,7 +15,7 @@
 from briarspur.policy import Policy, Target
 from briarspur.refusal import Refusal
 from briarspur.target import Chooser, OwnTarget, OwnTargets
-from briarspur.waiting import Waiting
+from briarspur.waitqueue import WaitQueue
 from briarspur.work import Work
 
 __all__ = ["Placed", "Placement", "Queued", "Refused", "ToEntry", "ToTarget"]
@@ -105,7 +105,7 @@
         self._chooser = chooser
         self._rng = rng
         self._queue_limit = queue_limit
-        self._waiting_by_service: dict[str, Waiting] = {}
+        self._waiting_by_service: dict[str, WaitQueue] = {}
         self._owners_by_flow: dict[tuple[str, str], list[ViewedMember]] = {}
         self._limited = False
 
@@ -138,7 +138,7 @@
         if service not in self.targets_by_service:
             self.targets_by_service[service] = OwnTargets(service, self._chooser)
             self.outliers_by_service[service] = Outliers()
-            self._waiting_by_service[service] = Waiting(self._queue_limit)
+            self._waiting_by_service[service] = WaitQueue(self._queue_limit)
 
     def _assign_service(
         self, service: str, targets: list[Target], view: MemberView, now: float
@@ -293,7 +293,7 @@
                 continue
             targets = self.targets_by_service[service]
             wait_of = [targets.estimate_wait(n, now) for n in range(len(queue))]
-            late = queue.hopeless(now, wait_of, targets.mean_latency)
+            late = queue.remove_late(now, wait_of, targets.mean_latency)
             gone += late
         return gone
 
--- a/briarspur/refusal.py
+++ b/briarspur/refusal.py
@@ -1,4 +1,4 @@
-"""Final answers of briarspur's own."""
+"""Final answers that briarspur generates itself."""
 
 import json
 import math
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer that is small enough to be remembered."""
+    """A complete answer that is small enough to be kept."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A final answer made by briarspur itself.
+    """A final answer that briarspur generates instead of relaying one.
 
     Attributes
     ----------
     retry_after : float or None
-        Seconds after which the caller may come back; None if coming back is no use.
+        Seconds after which the caller may retry; None if a retry is of no use.
     """
 
     code: Code
@@ -35,7 +35,7 @@
 
 
 def refusal_answer(refusal: Refusal) -> Answer:
-    """Return the HTTP answer that tells a caller of a refusal."""
+    """Return the HTTP answer that reports a refusal to the caller."""
     info = CODES[refusal.code]
     document = {
         "code": int(refusal.code),
