--- a/briarspur/carry.py
+++ b/briarspur/carry.py
@@ -19,8 +19,8 @@
     DelayedCall,
     FetchedOutcome,
     KeyStore,
-    LinkPacer,
     NoPacing,
+    RegionPacer,
     Sender,
 )
 from briarspur.messages import (
@@ -78,7 +78,7 @@
         keys: KeyStore,
         observer: CarryObserver,
         settings: CarrySettings,
-        pacer: LinkPacer | None = None,
+        pacer: RegionPacer | None = None,
     ) -> None:
         self._core = core
         self._sender = sender
--- a/briarspur/core.py
+++ b/briarspur/core.py
@@ -22,10 +22,10 @@
     Begin,
     Cancel,
     Failure,
-    Kind,
     Refuse,
     Reply,
     Request,
+    RequestKind,
     SettledClaim,
 )
 from briarspur.ownership import OwnerSlots, SlotRule
@@ -197,7 +197,7 @@
         if work is None:
             return out
         work.caller_connected = False
-        if work.kind is Kind.ONCE_ONLY:
+        if work.kind is RequestKind.ONCE_ONLY:
             self._requests.handle_once_only_disconnect(work)
         else:
             if work.attempt is not None:
--- a/briarspur/dedupe.py
+++ b/briarspur/dedupe.py
@@ -6,7 +6,7 @@
 from briarspur.coord import once
 from briarspur.coord.keys import Key, parse_key
 from briarspur.members import MemberView, ViewedMember
-from briarspur.messages import Kind
+from briarspur.messages import RequestKind
 from briarspur.refusal import Refusal
 from briarspur.work import Classified
 
@@ -96,7 +96,7 @@
     def decide(self, item: Classified, view: MemberView, now: float, wall: float) -> Decision:
         """Return how to handle a request; ``wall`` is Unix time in seconds."""
         request = item.request
-        if item.rule.kind is Kind.IDEMPOTENT or request.dispatch_only:
+        if item.rule.kind is RequestKind.IDEMPOTENT or request.dispatch_only:
             return Proceed()
         if request.key is None:
             return Reject(Refusal(Code.KEY_REQUIRED))
--- a/briarspur/forms.py
+++ b/briarspur/forms.py
@@ -15,7 +15,7 @@
 
 from briarspur.errors import DocumentError, Fault
 from briarspur.fieldtext import FieldKind, read_text, to_text
-from briarspur.messages import Kind, MovedBy
+from briarspur.messages import RequestKind, ShiftKind
 from briarspur.policy import TargetState
 
 __all__ = [
@@ -83,7 +83,7 @@
 
 TABLES = ("services", "regions", "caps", "targets", "entries")
 
-KINDS = tuple(kind.value for kind in Kind)
+KINDS = tuple(kind.value for kind in RequestKind)
 PRIORITIES = ("once_only", "interactive", "download", "bulk")
 STATES = tuple(state.value for state in TargetState)
 
@@ -188,7 +188,7 @@
     }[section]
     names: Iterable[str] = _object(draft, root)
     if section is Section.CAPS:
-        names = [kind.value for kind in MovedBy]
+        names = [kind.value for kind in ShiftKind]
     return {f"{root}.{name}": _fields(draft, f"{root}.{name}", specs) for name in names}
 
 
--- a/briarspur/interfaces.py
+++ b/briarspur/interfaces.py
@@ -1,4 +1,4 @@
-"""What a carrier of requests needs around it: the core, a sender, a clock, keys, pacing."""
+"""The interfaces that the carrier of requests uses: core, sender, clock, key store, pacing."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
     "DelayedCall",
     "FetchedOutcome",
     "KeyStore",
-    "LinkPacer",
+    "RegionPacer",
     "NoPacing",
     "Sender",
 ]
@@ -24,29 +24,35 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchedOutcome:
-    """What a gone incarnation left about a key; ``answer`` is None if it was not kept."""
+    """The outcome of a key that a terminated incarnation stored.
+
+    Attributes
+    ----------
+    answer : Answer or None
+        None if the answer was not kept.
+    """
 
     found: bool
     answer: Answer | None = None
 
 
 class DecisionCore(Protocol):
-    """The decisions. Each event returns the actions to carry out, in order; times in seconds.
+    """Makes the decisions: each event returns the actions to carry out, in order.
 
-    ``Request.deadline`` is infinite if the caller gave none; the core takes the earlier of it and
-    the rule's. Events of an attempt that was cancelled are not reported.
+    Times are in seconds. ``Request.deadline`` is infinite if the caller sent none; the core uses
+    the earlier one of it and the rule's. Events of a cancelled attempt must not be reported.
     """
 
     def request_arrived(self, request: Request, now: float, wall: float) -> list[Action]:
-        """Decide on a new request; ``wall`` is unix time in seconds."""
+        """Handle a new request; ``wall`` is Unix time in seconds."""
 
     def answer_began(self, attempt_id: int, status: int, now: float) -> list[Action]:
-        """Decide on an answer: ``Begin`` passes it on; without one the attempt is dropped."""
+        """Handle the head of an answer; unless ``Begin`` is returned, the attempt is dropped."""
 
     def answer_ended(
         self, attempt_id: int, answer: Answer | None, size: int, now: float, status: int = 200
     ) -> list[Action]:
-        """Note a whole answer of ``size`` bytes; ``answer`` if it is to be remembered."""
+        """Handle a complete answer of ``size`` bytes; ``answer`` is set if it has to be kept."""
 
     def attempt_failed(
         self,
@@ -58,38 +64,38 @@
         resumable: bool = False,
         crashed: bool = False,
     ) -> list[Action]:
-        """Decide on a failed attempt, of whose body the caller has ``passed`` bytes."""
+        """Handle a failed attempt; ``bytes_sent`` bytes of the body were sent to the caller."""
 
     def caller_gone(self, request_id: str, now: float) -> list[Action]:
-        """Decide on a request nobody waits for any more."""
+        """Handle the disconnect of a request's caller."""
 
     def claim_settled(self, request_id: str, claim: SettledClaim, now: float) -> list[Action]:
-        """Go on after a claim."""
+        """Continue a request after its claim."""
 
     def outcome_fetched(
         self, request_id: str, found: bool, answer: Answer | None, now: float
     ) -> list[Action]:
-        """Go on after reading a gone incarnation's outcomes."""
+        """Continue a request after reading the outcomes of a terminated incarnation."""
 
     def tick(self, now: float, wall: float) -> list[Action]:
-        """Do what is due."""
+        """Run the timed work that is due."""
 
     def next_wake(self, now: float) -> float | None:
-        """Return when a tick is due at the latest, None if nothing waits."""
+        """Return when the next tick is due at the latest; None if no request is queued."""
 
 
 class KeyStore(Protocol):
-    """The object store as keys need it."""
+    """Access to claims and outcomes of keys in the object store."""
 
     async def claim(self, key: str, body_digest: bytes) -> SettledClaim:
         """Claim a foreign key."""
 
     async def fetch(self, incarnation: str, key: str) -> FetchedOutcome:
-        """Read what a gone incarnation recorded about a key."""
+        """Read the outcome of a key that a terminated incarnation recorded."""
 
 
 class CarryObserver(Protocol):
-    """Who counts requests and answers, and learns what backend servers say of themselves."""
+    """Counts requests and answers, and receives the notices of backend servers."""
 
     def arrived(self, request: Request) -> None:
         """Count a request."""
@@ -100,48 +106,48 @@
         Parameters
         ----------
         region : str
-            Where it was dispatched to; empty if it was not dispatched by this entry.
+            Region that it was dispatched to; empty if this entry did not dispatch it.
         seconds : float
-            From the request's arrival to the answer's end.
+            Time from the arrival of the request to the end of the answer.
         """
 
     def target_leaving(self, target_id: str) -> None:
-        """Note that a backend server said in an answer that it takes no new work."""
+        """Record that a backend server reported in an answer that it is leaving."""
 
 
-class LinkPacer(Protocol):
-    """The byte rate of links."""
+class RegionPacer(Protocol):
+    """Limits the byte rate of each region's link."""
 
     def take(self, region: str, priority: Priority, size: int, now: float) -> float:
-        """Account for ``size`` bytes of a region's link; return the seconds to pause."""
+        """Account for ``size`` bytes on a region's link; return the seconds to pause."""
 
 
 class NoPacing:
-    """Links without a limit."""
+    """Links without a rate limit."""
 
     def take(self, region: str, priority: Priority, size: int, now: float) -> float:
-        """Never pause."""
+        """Return no pause."""
         return 0.0
 
 
 class Sender(Protocol):
-    """What sends requests; :class:`briarspur.backend.BackendClient` in a daemon."""
+    """Sends requests; :class:`briarspur.backend.BackendClient` in a daemon."""
 
     def send(self, outgoing: Outgoing, events: AttemptEvents) -> Attempt:
         """Send a request."""
 
 
 class DelayedCall(Protocol):
-    """A call that is due later."""
+    """A scheduled call."""
 
     def getTime(self) -> float:  # noqa: N802
-        """Return when it is due, in seconds on the clock."""
+        """Return when the call is due, in seconds on the clock."""
 
     def reset(self, seconds: float) -> None:
-        """Make it due ``seconds`` from now."""
+        """Reschedule the call to ``seconds`` from now."""
 
     def cancel(self) -> None:
-        """Never make it."""
+        """Cancel the call."""
 
 
 class Clock(Protocol):
--- a/briarspur/keystore.py
+++ b/briarspur/keystore.py
@@ -65,7 +65,7 @@
         if isinstance(outcome, ClaimUnsettled):
             self._unsettled_until = self._clock() + PAUSE_S
         if isinstance(outcome, ClaimAcquired):
-            return SettledClaim(ClaimResult.OURS)
+            return SettledClaim(ClaimResult.ACQUIRED)
         if isinstance(outcome, ClaimTaken):
             return SettledClaim(ClaimResult.TAKEN, outcome.incarnation)
         return SettledClaim(ClaimResult.UNSETTLED)
--- a/briarspur/lint.py
+++ b/briarspur/lint.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from briarspur.errors import Fault
-from briarspur.messages import Kind
+from briarspur.messages import RequestKind
 from briarspur.policy import PolicyDocument, ServiceDocument, TargetState
 
 __all__ = ["warnings_of"]
@@ -78,7 +78,7 @@
 
 def _posts_that_repeat(name: str, service: ServiceDocument) -> Iterator[Fault]:
     for index, rule in enumerate(service.rules):
-        if "POST" in rule.methods and rule.kind is Kind.IDEMPOTENT:
+        if "POST" in rule.methods and rule.kind is RequestKind.IDEMPOTENT:
             text = "POST as idempotent: it may be sent more than once"
             yield Fault(f"services.{name}.rules.{index}.kind", text)
 
--- a/briarspur/messages.py
+++ b/briarspur/messages.py
@@ -1,8 +1,8 @@
-"""Typed messages between the filters of the decision core and the shells around it.
+"""Typed messages between the decision core and the shell around it.
 
-The core reads no clock and does no I/O. A shell tells it what happened (a method of
-:class:`briarspur.core.Core` for each event) and carries out the actions it returns. All times are
-seconds on the shell's monotonic clock; byte counts are bytes.
+The core reads no clock and does no I/O. The shell calls a method of :class:`briarspur.core.Core`
+for each event and carries out the actions that it returns. All times are seconds on the shell's
+monotonic clock; sizes are in bytes.
 """
 
 from dataclasses import dataclass
@@ -24,19 +24,19 @@
     "Failure",
     "FetchOutcome",
     "Forward",
-    "Kind",
-    "MovedBy",
     "Priority",
     "Refusal",
     "Refuse",
     "Reply",
     "Request",
+    "RequestKind",
     "SettledClaim",
+    "ShiftKind",
     "TargetAddress",
 ]
 
 
-class Kind(Enum):
+class RequestKind(Enum):
     """The two classes of request."""
 
     IDEMPOTENT = "idempotent"
@@ -44,7 +44,7 @@
 
 
 class Priority(IntEnum):
-    """Who is served first under overload; a lower number goes first."""
+    """The order of service under overload; lower numbers come first."""
 
     ONCE_ONLY = 0
     INTERACTIVE = 1
@@ -52,8 +52,8 @@
     BULK = 3
 
 
-class MovedBy(Enum):
-    """The kinds of shift; each has a cap of its own in the policy."""
+class ShiftKind(Enum):
+    """The kinds of shift between regions; each has a separate cap in the policy."""
 
     PLANNED = "planned"
     EMERGENCY = "emergency"
@@ -63,8 +63,8 @@
 class Failure(Enum):
     """How an attempt ended without a whole answer.
 
-    ``NOT_SENT`` and ``SHED`` alone prove that the request was not run: no byte of it was handed
-    to a transport, or the backend server said so itself.
+    Only ``NOT_SENT`` and ``SHED`` prove that the request was not run: no byte of it was written to
+    a transport, or the backend server reported it.
     """
 
     NOT_SENT = "not sent"
@@ -75,16 +75,16 @@
 
 
 class ClaimResult(Enum):
-    """What became of the claim of a key that no look-up of ours handed out."""
+    """The result of claiming a foreign key, which no look-up issued."""
 
-    OURS = "ours"
+    ACQUIRED = "ours"
     TAKEN = "taken"
     UNSETTLED = "unsettled"
 
 
 @dataclass(frozen=True, slots=True)
 class SettledClaim:
-    """What became of a claim, and which incarnation holds it if it is taken."""
+    """The result of a claim, and the incarnation that holds it if it is taken."""
 
     result: ClaimResult
     holder: str | None = None
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryAddress:
-    """Where an entry listens."""
+    """The host and ports that an entry listens on."""
 
     entry_id: str
     host: str
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetAddress:
-    """Where a backend server listens."""
+    """The host and port that a backend server listens on."""
 
     target_id: str
     host: str
@@ -112,27 +112,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A caller's request, whole, as the shell read it.
+    """A complete request of a caller, as read by the shell.
 
     Attributes
     ----------
     request_id : str
-        Given by the first entry; follows the request through a forward.
+        Assigned by the first entry and kept when the request is forwarded.
     path : str
-        Path and query as sent.
+        Path and query as received.
     key : str or None
-        The Idempotency-Key.
+        Value of the Idempotency-Key header.
     body_digest : bytes
-        SHA-256 of method, path and body; tells one request from another.
+        SHA-256 of method, path and body; identifies a request.
     block : int
-        The caller's block of clients: the first 32 bits of its address.
+        The caller's block of clients: the first 32 bits of its IP address.
     deadline : float
-        When the answer is worth nothing any more, on the receiver's monotonic clock.
+        When the answer becomes useless, on the receiver's monotonic clock.
     forwarded_by : str or None
-        The entry that sent it on; a forwarded request is never forwarded to a third entry, unless
+        The entry that forwarded it; a forwarded request is not forwarded to a third entry unless
         its receiver is the home of its key.
     dispatch_only : bool
-        The key's home sent it here to be dispatched: this entry must not look the key up.
+        The key's home forwarded it for dispatch only: this entry must not look up the key.
     """
 
     request_id: str
@@ -148,18 +148,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Send the request to a backend server. From here on it counts as run, unless shown not to be.
+    """Send the request to a backend server; from now on it counts as run unless proven otherwise.
 
     Attributes
     ----------
     attempt_id : int
-        Events about the attempt carry it; events of an attempt the core has ended are dropped.
+        Events of the attempt carry this id; events of attempts that have ended are ignored.
     keep_answer : bool
-        Collect the whole answer and hand it to ``answer_ended``, so that it can be remembered.
+        Collect the complete answer and pass it to ``answer_ended``, so that it can be kept.
     resume_at : int
-        Ask for the body from this byte on (Range with If-Range); 0 asks for all of it.
+        Request the body from this byte on, by Range with If-Range; 0 requests all of it.
     priority : Priority
-        Share of the link the answer's bytes are paced under.
+        Selects the share of the link's rate for the answer's bytes.
     """
 
     request_id: str
@@ -175,18 +175,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """Send the request on to another entry.
+    """Forward the request to another entry.
 
     Attributes
     ----------
     dispatch_only : bool
-        True if this entry is the key's home and the other shall only dispatch.
+        True if this entry is the key's home and the other one must only dispatch.
     relay_refusals : bool
-        True if the other entry is the key's home: whatever it answers is passed on, also a refusal,
-        since it alone knows what became of the key. False: an answer with ``Briarspur-Ran: no`` is
-        reported as ``Failure.SHED``.
+        True if the other entry is the key's home: all its answers are relayed, including refusals,
+        because only it knows the outcome of the key. If False, an answer with ``Briarspur-Ran: no``
+        is reported as ``Failure.SHED``.
     region : str
-        Region of the other entry: answers are counted by where they ran.
+        Region of the other entry; answers are counted by the region that ran the request.
     """
 
     request_id: str
@@ -202,7 +202,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Begin:
-    """Pass the answer of this attempt on to the caller, from its head on, as it arrives."""
+    """Relay the answer of this attempt to the caller as it arrives, starting with its head."""
 
     request_id: str
     attempt_id: int
@@ -210,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Give the caller a remembered whole answer."""
+    """Send the caller a kept answer."""
 
     request_id: str
     answer: Answer
@@ -219,7 +219,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Give the caller a final answer of our own."""
+    """Send the caller a refusal as the final answer."""
 
     request_id: str
     refusal: Refusal
@@ -227,7 +227,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """Cut the caller's connection, because a part of the body was already passed on."""
+    """Abort the caller's connection, because a part of the body has already been sent."""
 
     request_id: str
     refusal: Refusal
@@ -235,14 +235,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Give an attempt up and let the backend server know by closing its connection."""
+    """Cancel an attempt by closing its connection."""
 
     attempt_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Create the claim of a foreign key in the object store; answer with ``claim_settled``."""
+    """Claim a foreign key in the object store, then call ``claim_settled``."""
 
     request_id: str
     key: str
@@ -251,7 +251,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchOutcome:
-    """Read the outcome a gone incarnation left in the store; answer with ``outcome_fetched``."""
+    """Read an outcome that a terminated incarnation stored, then call ``outcome_fetched``."""
 
     request_id: str
     incarnation: str
--- a/briarspur/pipeline.py
+++ b/briarspur/pipeline.py
@@ -26,9 +26,9 @@
     ClaimResult,
     Failure,
     FetchOutcome,
-    Kind,
     Refuse,
     Reply,
+    RequestKind,
     SettledClaim,
 )
 from briarspur.placement import Placement, Queued, Refused, ToEntry, ToTarget
@@ -155,7 +155,7 @@
         self._store_waits.discard(work)
         if key is None:
             return
-        if claim.result is ClaimResult.OURS:
+        if claim.result is ClaimResult.ACQUIRED:
             self._keys.mark_claimed(key)
             if work.caller_connected:
                 self._routing.first_attempt(work)
@@ -284,7 +284,7 @@
             return False
         if attempt.to_key_home or (work.bytes_sent > 0 and not resumable):
             return False
-        if work.kind is Kind.ONCE_ONLY and proof is None:
+        if work.kind is RequestKind.ONCE_ONLY and proof is None:
             # The first attempt may have run: a second one could record a booking twice.
             return False
         if failure is Failure.DEADLINE or not self._routing.take_retry(work):
@@ -326,7 +326,7 @@
             # Only the home knows whether the copy sent there was run.
             refusal = Refusal(Code.HOME_UNREACHABLE, retry_after=1.0)
             self._requests.finish(work, refusal, out)
-        elif work.kind is Kind.ONCE_ONLY and proof is None:
+        elif work.kind is RequestKind.ONCE_ONLY and proof is None:
             late = failure is Failure.DEADLINE
             code = Code.DEADLINE_PASSED_AFTER_DISPATCH if late else Code.OUTCOME_UNKNOWN
             self._requests.finish_unknown(work, Refusal(code), now, out)
--- a/briarspur/plan.py
+++ b/briarspur/plan.py
@@ -6,7 +6,7 @@
 
 from briarspur.coord.invariants import invariants
 from briarspur.documents import Document, parse
-from briarspur.messages import MovedBy
+from briarspur.messages import ShiftKind
 from briarspur.region import Splits
 
 __all__ = ["PLAN_NAME", "PlanDocument", "PlanOrder", "PlanSplit", "parse_plan"]
@@ -21,7 +21,7 @@
     """Where one service's callers of one home go, and what moved them last."""
 
     shares: dict[str, Share] = Field(min_length=1, description="by region; they add up to 1")
-    moved_by: MovedBy = MovedBy.PLANNED
+    moved_by: ShiftKind = ShiftKind.PLANNED
 
 
 class PlanDocument(Document):
--- a/briarspur/planner.py
+++ b/briarspur/planner.py
@@ -15,7 +15,7 @@
 from briarspur.coord.invariants import invariants
 from briarspur.loadreport import LoadDocument
 from briarspur.measurements import Measurements, Picture
-from briarspur.messages import MovedBy
+from briarspur.messages import ShiftKind
 from briarspur.plan import PlanDocument, PlanSplit
 from briarspur.policy import Policy
 from briarspur.splits import Shares, are_close, policy_split, rounded, step_within_caps
@@ -238,10 +238,10 @@
             if are_close(shares, policy_split(policy, service, home)):
                 continue
             former = self._plan.splits.get(service, {}).get(home)
-            moved_by = former.moved_by if former is not None else MovedBy.PLANNED
+            moved_by = former.moved_by if former is not None else ShiftKind.PLANNED
             if shares != before[home]:
                 goes_home = shares.get(home, 0.0) > before[home].get(home, 0.0)
-                moved_by = MovedBy.RETURN if goes_home else MovedBy.PLANNED
+                moved_by = ShiftKind.RETURN if goes_home else ShiftKind.PLANNED
             documents[home] = PlanSplit(shares=rounded(shares), moved_by=moved_by)
         return documents
 
--- a/briarspur/policy.py
+++ b/briarspur/policy.py
@@ -7,7 +7,7 @@
 from pydantic import Field, model_validator
 
 from briarspur.documents import Document, parse
-from briarspur.messages import Kind, MovedBy, Priority, TargetAddress
+from briarspur.messages import Priority, RequestKind, ShiftKind, TargetAddress
 
 __all__ = [
     "Cap",
@@ -52,7 +52,7 @@
 
     methods: list[str] = Field(default=["GET", "HEAD"], min_length=1)
     path: str = Field(default="/", pattern=r"^/", description="prefix below the service's path")
-    kind: Kind = Kind.IDEMPOTENT
+    kind: RequestKind = RequestKind.IDEMPOTENT
     priority: PriorityName = "interactive"
     deadline_ms: int = Field(default=2_000, ge=10, le=3_600_000)
 
@@ -115,7 +115,7 @@
     services: dict[Name, ServiceDocument] = Field(min_length=1)
     targets: dict[Name, TargetDocument]
     entries: dict[Name, EntryDocument] = Field(min_length=1)
-    caps: dict[MovedBy, CapDocument]
+    caps: dict[ShiftKind, CapDocument]
     blocks: BlocksDocument
     lookup_lifetime_s: float = Field(default=10.0, ge=1.0, le=3_600.0)
     key_lifetime_s: float = Field(default=600.0, ge=10.0, le=86_400.0)
@@ -151,7 +151,7 @@
         faults += [f"services.{name}.split: unknown region {r}" for r in sorted(named - regions)]
     if {document.blocks.default, *document.blocks.by_prefix.values()} - regions:
         faults.append("blocks: names an unknown region")
-    if missing := set(MovedBy) - set(document.caps):
+    if missing := set(ShiftKind) - set(document.caps):
         faults.append(f"caps: missing {', '.join(sorted(kind.value for kind in missing))}")
     return faults
 
@@ -175,7 +175,7 @@
 
     methods: frozenset[str]
     path: str
-    kind: Kind
+    kind: RequestKind
     priority: Priority
     deadline: float
 
@@ -245,7 +245,7 @@
     targets_by_id: dict[str, Target]
     zone_regions: dict[str, str]
     entry_zones: dict[str, str]
-    caps_by_kind: dict[MovedBy, Cap]
+    caps_by_kind: dict[ShiftKind, Cap]
     default_home: str
     homes_by_prefix: dict[str, str]
     lookup_lifetime: float
--- a/briarspur/region.py
+++ b/briarspur/region.py
@@ -7,7 +7,7 @@
 from expression import Error, Ok, Result
 
 from briarspur.codes import Code
-from briarspur.messages import MovedBy
+from briarspur.messages import ShiftKind
 from briarspur.policy import Policy, Service
 from briarspur.refusal import Refusal
 
@@ -16,7 +16,7 @@
 Splits = Mapping[str, Mapping[str, Mapping[str, float]]]
 """By service and home region, the share of its callers that each region serves."""
 
-ShiftGate = Callable[[str, str, str, MovedBy], bool]
+ShiftGate = Callable[[str, str, str, ShiftKind], bool]
 """Called with service, home, region and kind; False if the cap on shifts forbids the move."""
 
 
@@ -25,7 +25,7 @@
     """The region chosen, and what moved the request there if it is not at home."""
 
     region: str
-    moved_by: MovedBy | None
+    moved_by: ShiftKind | None
 
 
 class RegionChooser:
@@ -100,11 +100,11 @@
     ) -> RegionChoice | None:
         """Return the drawn region if it is home or the cap allows the move; home if it can."""
         if drawn == home:
-            allowed = gate(service.name, home, home, MovedBy.RETURN)
+            allowed = gate(service.name, home, home, ShiftKind.RETURN)
             return RegionChoice(home, None) if allowed else None
-        if gate(service.name, home, drawn, MovedBy.PLANNED):
-            return RegionChoice(drawn, MovedBy.PLANNED)
-        if usable(home) and gate(service.name, home, home, MovedBy.RETURN):
+        if gate(service.name, home, drawn, ShiftKind.PLANNED):
+            return RegionChoice(drawn, ShiftKind.PLANNED)
+        if usable(home) and gate(service.name, home, home, ShiftKind.RETURN):
             return RegionChoice(home, None)
         return None
 
@@ -121,10 +121,10 @@
         for region in (home, *self.spill_order(home)):
             if region == tried or not usable(region):
                 continue
-            moved_by = None if region == home else MovedBy.EMERGENCY
+            moved_by = None if region == home else ShiftKind.EMERGENCY
             # Home traffic is counted too: uncounted, it would look like a return to home in the
             # next window and be refused beyond the cap on returns.
-            if gate(service.name, home, region, moved_by or MovedBy.RETURN):
+            if gate(service.name, home, region, moved_by or ShiftKind.RETURN):
                 return Ok(RegionChoice(region, moved_by))
             capped = True
         code = Code.SHIFT_CAPPED if capped else Code.NO_TARGET
--- a/briarspur/routing.py
+++ b/briarspur/routing.py
@@ -7,7 +7,7 @@
 from briarspur.coord.escrow import EscrowSettings, base_shares
 from briarspur.coord.retry import RetryBudget
 from briarspur.coord.shift import ShiftBudget, ShiftCap
-from briarspur.messages import MovedBy, Priority
+from briarspur.messages import Priority, ShiftKind
 from briarspur.placement import Placed, Placement, Refused
 from briarspur.policy import Policy
 from briarspur.refusal import Refusal
@@ -88,7 +88,7 @@
         def usable(region: str) -> bool:
             return self._placement.usable(service, region)
 
-        def gate(service: str, home: str, region: str, kind: MovedBy) -> bool:
+        def gate(service: str, home: str, region: str, kind: ShiftKind) -> bool:
             return self._gate(service, home, region, kind, now)
 
         chosen = self._regions.choose(work.service, work.home, usable, gate)
@@ -109,13 +109,13 @@
             self.shifts.give_back(service, work.home, work.region, work.counted_at)
             work.counted_at = None
 
-    def _gate(self, service: str, home: str, region: str, kind: MovedBy, now: float) -> bool:
+    def _gate(self, service: str, home: str, region: str, kind: ShiftKind, now: float) -> bool:
         return self.shifts.take(service, home, region, kind.value, now)
 
     def _with_retry_after(self, refusal: Refusal, now: float) -> Refusal:
         wait = NO_TARGET_RETRY_AFTER
         if refusal.code is Code.SHIFT_CAPPED:
-            wait = self.shifts.retry_after(MovedBy.EMERGENCY.value, now)
+            wait = self.shifts.retry_after(ShiftKind.EMERGENCY.value, now)
         return replace(refusal, retry_after=wait * (1 + self._rng.random()))
 
     def place(self, work: Work, now: float) -> Placed:
@@ -135,9 +135,9 @@
         for region in self._regions.spill_order(work.home):
             if region == refused_in or not self._placement.has_room(service, region, now):
                 continue
-            if self._gate(service, work.home, region, MovedBy.EMERGENCY, now):
+            if self._gate(service, work.home, region, ShiftKind.EMERGENCY, now):
                 self.not_sent(work)
-                work.region, work.moved_by = region, MovedBy.EMERGENCY
+                work.region, work.moved_by = region, ShiftKind.EMERGENCY
                 work.counted_at = now
                 placed = self._placement.place(work, now, may_forward=True)
                 if not isinstance(placed, Refused):
--- a/briarspur/splits.py
+++ b/briarspur/splits.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from briarspur.coord.invariants import invariants
-from briarspur.messages import MovedBy
+from briarspur.messages import ShiftKind
 from briarspur.policy import Cap, Policy
 
 __all__ = ["Shares", "are_close", "policy_split", "rounded", "step_within_caps"]
@@ -22,7 +22,7 @@
     before: Mapping[str, Shares],
     aim: Mapping[str, Shares],
     demand_by_home: Mapping[str, float],
-    caps_by_kind: Mapping[MovedBy, Cap],
+    caps_by_kind: Mapping[ShiftKind, Cap],
 ) -> dict[str, Shares]:
     """Return splits on the way from ``before`` to ``aim``, one step within the caps.
 
@@ -30,14 +30,14 @@
     ----------
     demand_by_home : mapping of str to float
         Requests per second.
-    caps_by_kind : mapping of MovedBy to Cap
+    caps_by_kind : mapping of ShiftKind to Cap
         Requests that may move to one region in a window: homewards under ``RETURN``, else under
         ``PLANNED``.
     """
     part_by_flow = {}
     for region in {region for shares in (*before.values(), *aim.values()) for region in shares}:
         for is_home in (True, False):
-            cap = caps_by_kind[MovedBy.RETURN if is_home else MovedBy.PLANNED]
+            cap = caps_by_kind[ShiftKind.RETURN if is_home else ShiftKind.PLANNED]
             homes = [home for home in before if (home == region) == is_home]
             growth = sum(_growth(before, aim, home, region, demand_by_home) for home in homes)
             moved = growth * cap.window
@@ -57,7 +57,7 @@
             + part * (aim[home].get(region, 0.0) - shares.get(region, 0.0))
             for region in {**shares, **aim[home]}
         }
-    _check_step(before, after, demand_by_home, caps_by_kind[MovedBy.PLANNED])
+    _check_step(before, after, demand_by_home, caps_by_kind[ShiftKind.PLANNED])
     return after
 
 
--- a/briarspur/work.py
+++ b/briarspur/work.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from briarspur.coord.once import Key
-from briarspur.messages import Kind, MovedBy, Priority, Request
+from briarspur.messages import Priority, Request, RequestKind, ShiftKind
 from briarspur.policy import Rule, Service
 
 __all__ = ["Attempt", "Classified", "Work"]
@@ -79,7 +79,7 @@
     deadline: float
     arrived: float
     region: str = ""
-    moved_by: MovedBy | None = None
+    moved_by: ShiftKind | None = None
     counted_at: float | None = None
     key: Key | None = None
     attempt: Attempt | None = None
@@ -93,7 +93,7 @@
     claim_pending: bool = False
 
     @property
-    def kind(self) -> Kind:
+    def kind(self) -> RequestKind:
         """Return the class of the request."""
         return self.rule.kind
 
--- a/tests/test_core_once.py
+++ b/tests/test_core_once.py
@@ -136,7 +136,7 @@
         """
         claim = self.bench.arrive("POST", "/booking/new", key="my-own-key")[0]
         self.core.caller_gone(claim.request_id, 0.1)
-        self.core.claim_settled(claim.request_id, SettledClaim(ClaimResult.OURS), 0.2)
+        self.core.claim_settled(claim.request_id, SettledClaim(ClaimResult.ACQUIRED), 0.2)
         again = self.bench.arrive("POST", "/booking/new", key="my-own-key")[0]
         self.assertIsInstance(again, Dispatch)
 
@@ -157,7 +157,7 @@
         [second] = self.core.tick(DEADLINE_S + 1.0, WALL + DEADLINE_S + 1.0)
         self.assertEqual(second.request_id, "r2")
         self.assertEqual(second.refusal.code, Code.STORE_UNAVAILABLE)
-        settled = SettledClaim(ClaimResult.OURS)
+        settled = SettledClaim(ClaimResult.ACQUIRED)
         self.assertEqual(self.core.claim_settled(claim.request_id, settled, 6.0), [])
         self.assertEqual(self.core.open_requests(), 0)
         again = self.bench.arrive("POST", "/booking/new", key="my-own-key", now=6.0)[0]
@@ -198,7 +198,7 @@
         self.bench.arrive("POST", "/booking/new", key="my-own-key")
         for request_id in (claim.request_id, "r2"):
             self.core.caller_gone(request_id, 0.1)
-        self.core.claim_settled(claim.request_id, SettledClaim(ClaimResult.OURS), 0.2)
+        self.core.claim_settled(claim.request_id, SettledClaim(ClaimResult.ACQUIRED), 0.2)
         self.assertEqual(self.core.open_requests(), 0)
 
     def test_unreachable_home_leaves_the_outcome_unknown(self) -> None:
--- a/tests/test_keystore.py
+++ b/tests/test_keystore.py
@@ -51,7 +51,7 @@
         self.assertEqual(results, [ClaimResult.UNSETTLED] * 3)
         self.assertEqual(len(claims.outcomes), 1)
         now[0] += PAUSE_S
-        self.assertIs((await keys.claim(KEY, b"")).result, ClaimResult.OURS)
+        self.assertIs((await keys.claim(KEY, b"")).result, ClaimResult.ACQUIRED)
 
     async def test_claims_are_refused_at_once_while_one_hangs(self) -> None:
         """Builders with own keys wait for 2 s each in the first seconds of an outage.
@@ -69,6 +69,6 @@
         self.assertIs(refused.result, ClaimResult.UNSETTLED)
         self.assertEqual(claims.begun, 1)
         claims.settled.set()
-        self.assertIs((await first).result, ClaimResult.OURS)
+        self.assertIs((await first).result, ClaimResult.ACQUIRED)
         again = await keys.claim("another-foreign-key", b"")
-        self.assertIs(again.result, ClaimResult.OURS)
+        self.assertIs(again.result, ClaimResult.ACQUIRED)
--- a/tests/test_limit_stories.py
+++ b/tests/test_limit_stories.py
@@ -7,7 +7,7 @@
 from briarspur.codes import CODES, Code, Ran, Repeat
 from briarspur.coord.invariants import invariants
 from briarspur.members import MemberView
-from briarspur.messages import MovedBy
+from briarspur.messages import ShiftKind
 from tests.world import ENTRIES, Run, World
 
 WINDOW_S = 5.0
@@ -106,7 +106,7 @@
         for name, region in world.policy.regions_by_name.items():
             self.assertLessEqual(traffic.most_in_flight[name], region.in_flight_limit)
         caps = world.policy.caps_by_kind
-        cap = caps[MovedBy.PLANNED].requests + caps[MovedBy.EMERGENCY].requests
+        cap = caps[ShiftKind.PLANNED].requests + caps[ShiftKind.EMERGENCY].requests
         for window, away in traffic.away_by_window.items():
             before = traffic.away_by_window.get(window - 1, Counter())
             for flow, count in away.items():
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -4,7 +4,7 @@
 import unittest
 
 from briarspur.errors import DocumentError
-from briarspur.messages import Kind, Priority
+from briarspur.messages import Priority, RequestKind
 from briarspur.policy import compile_policy, parse_policy
 from tests.examples import small_policy
 
@@ -16,7 +16,7 @@
         policy = compile_policy(parse_policy(json.dumps(small_policy())), version=3)
         rules = policy.services_by_name["booking"].rules
         self.assertEqual(rules[0].path, "/booking/")
-        self.assertIs(rules[0].kind, Kind.ONCE_ONLY)
+        self.assertIs(rules[0].kind, RequestKind.ONCE_ONLY)
         self.assertIs(rules[0].priority, Priority.ONCE_ONLY)
 
     def test_unknown_zone_is_refused(self) -> None:
--- a/tests/test_region.py
+++ b/tests/test_region.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from briarspur.messages import MovedBy
+from briarspur.messages import ShiftKind
 from briarspur.policy import compile_policy, parse_policy
 from briarspur.region import RegionChooser
 from tests.examples import small_policy
@@ -22,13 +22,13 @@
         policy = compile_policy(parse_policy(json.dumps(small_policy())), version=1)
         chooser = RegionChooser(policy, random.Random(1))
         chooser.follow_plan({"times": {"north": {"south": 1.0}}})
-        asked: list[tuple[str, str, MovedBy]] = []
+        asked: list[tuple[str, str, ShiftKind]] = []
 
-        def gate(service: str, home: str, region: str, kind: MovedBy) -> bool:
+        def gate(service: str, home: str, region: str, kind: ShiftKind) -> bool:
             asked.append((home, region, kind))
             return region == home
 
         service = policy.services_by_name["times"]
         chosen = chooser.choose(service, "north", lambda region: True, gate)
         self.assertEqual(chosen.ok.region, "north")
-        self.assertEqual(asked[-1], ("north", "north", MovedBy.RETURN))
+        self.assertEqual(asked[-1], ("north", "north", ShiftKind.RETURN))
--- a/tests/world.py
+++ b/tests/world.py
@@ -296,7 +296,7 @@
         if reaches_store:
             holder = self.claims.get(claim.key)
             self.claims.setdefault(claim.key, incarnation)
-            result = ClaimResult.OURS if holder is None else ClaimResult.TAKEN
+            result = ClaimResult.ACQUIRED if holder is None else ClaimResult.TAKEN
             settled = SettledClaim(result, holder)
         core = self.cores.get(entry_id)
         if core is not None and core.keys.incarnation == incarnation:
