--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces that tests of the operators' programs share."""
+"""Small fakes shared by the tests of the operators' programs."""
 
 from collections.abc import Callable
 
@@ -9,34 +9,36 @@
 )
 from briarspur.coord.store import ABSENT, StoredObject
 
-__all__ = ["FakeStore", "at_once"]
+__all__ = ["FakeStore", "skip_sleep"]
 
 
-async def at_once(_: float) -> None:
-    """Stand in for a sleep."""
+async def skip_sleep(_: float) -> None:
+    """Replace a sleep and return immediately."""
 
 
 class FakeStore:
-    """Objects in a dict, versioned by one counter as the platform's, with faults by script.
+    """An in-memory object store with scripted faults.
+
+    Like the platform's store, it numbers the versions of all objects by one counter.
 
     Attributes
     ----------
     lost_answers : int
-        How many coming writes take effect without an answer.
-    unsent : int
-        How many coming writes are lost before the store, also without an answer.
+        Number of next writes that take effect but get no answer.
+    lost_requests : int
+        Number of next writes that never reach the store and get no answer.
     down : bool
-        Refuse every call.
+        Whether every call fails.
     stale_reads : int
-        How many coming reads of an object return its previous version.
+        Number of next reads of an object that return its previous version.
     after_write : callable or None
-        Called after each write that took effect, with the object's name.
+        Called with the object's name after each write that took effect.
     """
 
     def __init__(self) -> None:
         self.objects: dict[str, list[StoredObject]] = {}
         self.lost_answers = 0
-        self.unsent = 0
+        self.lost_requests = 0
         self.down = False
         self.stale_reads = 0
         self.after_write: Callable[[str], None] | None = None
@@ -48,7 +50,7 @@
             raise StoreUnavailableError("down")
 
     async def get(self, name: str) -> StoredObject | None:
-        """Return the object, or an older version of it."""
+        """Return the object, or its previous version if ``stale_reads`` is set."""
         self._check()
         versions = self.objects.get(name, [])
         if self.stale_reads and versions:
@@ -65,8 +67,8 @@
     async def put(self, name: str, value: bytes, expected_version: int) -> int:
         """Write conditionally."""
         self._check()
-        if self.unsent:
-            self.unsent -= 1
+        if self.lost_requests:
+            self.lost_requests -= 1
             raise StoreUnclearError(name)
         versions = self.objects.get(name, [])
         current = versions[-1].version if versions else ABSENT
@@ -98,6 +100,6 @@
         return found if found is not None and found.version != known else None
 
     async def watch(self, name: str, newer_than: int, wait: float) -> StoredObject | None:
-        """Return a newer version at once or None."""
+        """Return a newer version, or None without waiting."""
         found = await self.get(name)
         return found if found is not None and found.version > newer_than else None
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -15,7 +15,7 @@
 from briarspur.repository import PolicyRepository
 from briarspur.windows import SLOT_S, Severity, split_now
 from tests.examples import small_policy
-from tests.fakes import FakeStore, at_once
+from tests.fakes import FakeStore, skip_sleep
 from tests.test_porcelain import FakeEntries
 
 START = 28_800_000 * SLOT_S + 2.0
@@ -28,7 +28,7 @@
         self.store = FakeStore()
         envelope = {"token": "t", "author": "", "note": "", "body": small_policy()}
         await self.store.put("policy", json.dumps(envelope).encode(), ABSENT)
-        self.repository = PolicyRepository(self.store, at_once)
+        self.repository = PolicyRepository(self.store, skip_sleep)
         self.entries = FakeEntries(["e1", "<b>e2"])
         self.reader = BurnReader(self.entries, self.entries)
         self.history = LevelHistory(self.store)
@@ -90,9 +90,9 @@
         # The store is down for some minutes while callers are refused. Had the collector dropped
         # those minutes, the outage would be missing from the report of the very time it hurt.
         await self.minute(good=1, bad=0)
-        self.store.unsent = 100
+        self.store.lost_requests = 100
         await self.minute(good=0, bad=4)
-        self.store.unsent = 0
+        self.store.lost_requests = 0
         await self.minute(good=1, bad=0)
         report = await self.report()
         times = next(s.burn for s in report.services if s.burn.service == "times")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,7 +15,7 @@
 from briarspur.exits import ExitCode
 from briarspur.repository import PolicyRepository
 from tests.examples import small_policy
-from tests.fakes import FakeStore, at_once
+from tests.fakes import FakeStore, skip_sleep
 from tests.test_porcelain import FakeEntries
 
 
@@ -32,10 +32,10 @@
 
         @contextlib.asynccontextmanager
         async def open_context(_: str | None, json: bool, author: str) -> AsyncIterator[Context]:
-            repository = PolicyRepository(self.store, at_once)
+            repository = PolicyRepository(self.store, skip_sleep)
             context = Context(json, author, repository, self.entries, self.entries, self.store)
             context.now = self.now
-            context.sleep = at_once  # type: ignore[assignment]
+            context.sleep = skip_sleep  # type: ignore[assignment]
             yield context
 
         self.enterContext(mock.patch.object(cli, "open_context", open_context))
@@ -87,7 +87,7 @@
         self.assertEqual(self.run_command("lookup", "times")[0], ExitCode.NO_ENTRY)
         self.assertEqual(self.run_command("drain", "nobody")[0], ExitCode.REFUSED)
         self.assertEqual(self.run_command("explain", "GET", "/times")[0], ExitCode.REFUSED)
-        self.store.unsent = 100
+        self.store.lost_requests = 100
         self.assertEqual(self.run_command("apply", self.file)[0], ExitCode.UNSETTLED)
         self.store.down = True
         self.assertEqual(self.run_command("history")[0], ExitCode.STORE_UNAVAILABLE)
--- a/tests/test_consolepages.py
+++ b/tests/test_consolepages.py
@@ -16,7 +16,7 @@
 from briarspur.repository import PolicyRepository
 from briarspur.serviceview import ServiceView
 from tests.examples import small_policy
-from tests.fakes import FakeStore, at_once
+from tests.fakes import FakeStore, skip_sleep
 from tests.test_porcelain import FakeEntries, parsed, sign
 
 TOKEN = "0123456789abcdef"
@@ -28,7 +28,7 @@
 
     async def asyncSetUp(self) -> None:
         self.store = FakeStore()
-        self.repository = PolicyRepository(self.store, at_once)
+        self.repository = PolicyRepository(self.store, skip_sleep)
         await porcelain.apply(self.repository, parsed(small_policy()), ABSENT, sign("t1"))
         entries = FakeEntries(["e1"])
         view = ServiceView(self.repository, self.store, entries, entries, lambda: 1_000_000.0)
--- a/tests/test_core_machine.py
+++ b/tests/test_core_machine.py
@@ -1,4 +1,4 @@
-"""Randomised runs of several cores, with the promises checked after each step."""
+"""Randomised tests of several cores that check the guarantees after each step."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
 
 
 class CoreMachine(RuleBasedStateMachine):
-    """Callers, entries and backend servers, with every fault as a rule."""
+    """State machine of callers, entries and backend servers, with each fault as a rule."""
 
     @initialize(seed=st.integers(0, 2**32 - 1))
     def begin(self, seed: int) -> None:
@@ -104,11 +104,11 @@
     def replace(self, entry: str) -> None:
         if entry not in self.world.cores:
             self.world.start_entry(entry)
-            self.world.tell_views(only=entry)
+            self.world.update_views(only=entry)
 
     @rule(entry=ENTRY)
-    def tell_view(self, entry: str) -> None:
-        self.world.tell_views(only=entry)
+    def update_view(self, entry: str) -> None:
+        self.world.update_views(only=entry)
 
     @rule(seconds=st.sampled_from([0.01, 0.3, 1.0, 5.0, 40.0, 300.0]))
     def wait(self, seconds: float) -> None:
@@ -126,14 +126,14 @@
             assert self.world.in_flight(name) <= region.in_flight_limit
 
     def teardown(self) -> None:
-        """Let everything end: each caller that is still connected has a final answer."""
+        """Finish all requests; check that every connected caller has got a final answer."""
         if not hasattr(self, "world"):
             return
         world = self.world
         for entry in ("entry-1", "entry-2", "entry-3", "entry-4"):
             if entry not in world.cores:
                 world.start_entry(entry)
-        world.tell_views()
+        world.update_views()
         for _ in range(2000):
             if not (world.hops or world.runs or world.pending_claims):
                 break
@@ -161,4 +161,4 @@
 
 
 class CoreMachineTest(CoreMachine.TestCase, unittest.TestCase):  # type: ignore[name-defined,misc]
-    """The machine with fixed seeds."""
+    """The state machine with fixed seeds."""
--- a/tests/test_limit_stories.py
+++ b/tests/test_limit_stories.py
@@ -68,9 +68,9 @@
     def _call(self, home: str) -> None:
         entries = NORTH_ENTRIES if home == "north" else SOUTH_ENTRIES
         live = [e for e in entries if e in self.world.cores] or sorted(self.world.cores)
-        entry = live[self.world.calls % len(live)]
+        entry = live[self.world.call_count % len(live)]
         block = SOUTH_BLOCK if home == "south" else 1
-        call = self.world.call(entry, None, self.world.calls, block)
+        call = self.world.call(entry, None, self.world.call_count, block)
         self._home_by_call[call] = home
 
     def _note_runs(self) -> None:
@@ -111,7 +111,7 @@
             before = traffic.away_by_window.get(window - 1, Counter())
             for flow, count in away.items():
                 self.assertLessEqual(count, before[flow] + cap, (window, flow))
-        for code in world.finals.values():
+        for code in world.final_codes.values():
             info = CODES[code]
             if info.ran is Ran.NO and code is not Code.NO_TARGET:
                 self.assertIs(info.repeat, Repeat.AFTER_RETRY_AFTER)
@@ -130,7 +130,7 @@
         traffic.run(10.0)
         for entry in NORTH_ENTRIES:
             traffic.world.kill(entry)
-        traffic.world.tell_views()
+        traffic.world.update_views()
         traffic.run(30.0)
         self.check(traffic)
         moved = traffic.away_by_window[max(traffic.away_by_window)]["north", "south"]
@@ -157,7 +157,7 @@
         self.settle(traffic)
         self.check(traffic)
         self.assertEqual([traffic.world.ledger[key] for key in keys], [1] * 10)
-        refused = [c for c in traffic.world.finals.values() if CODES[c].ran is Ran.NO]
+        refused = [c for c in traffic.world.final_codes.values() if CODES[c].ran is Ran.NO]
         self.assertGreater(len(refused), 100)
 
     def test_a_plan_is_replayed_and_doubled(self) -> None:
@@ -184,12 +184,12 @@
         traffic = Traffic({"north": 4.0, "south": 1.0})
         traffic.run(5.0)
         world = traffic.world
-        view = world.true_view().by_id
+        view = world.actual_view().by_id
         for entry, other in (NORTH_ENTRIES, NORTH_ENTRIES[::-1]):
             alone = MemberView({name: m for name, m in view.items() if name != other})
             world.carry_out(entry, world.cores[entry].view_changed(alone, world.now))
         traffic.run(15.0)
-        world.tell_views()
+        world.update_views()
         traffic.run(10.0)
         self.check(traffic)
         self.settle(traffic)
@@ -204,11 +204,11 @@
         world = traffic.world
         for entry in NORTH_ENTRIES:
             world.kill(entry)
-        world.tell_views()
+        world.update_views()
         traffic.run(20.0)
         for entry in NORTH_ENTRIES:
             world.start_entry(entry)
-        world.tell_views()
+        world.update_views()
         traffic.run(20.0)
         self.check(traffic)
         self.settle(traffic)
--- a/tests/test_porcelain.py
+++ b/tests/test_porcelain.py
@@ -13,7 +13,7 @@
 from briarspur.porcelain import Refused, Signature
 from briarspur.repository import PolicyRepository
 from tests.examples import small_policy
-from tests.fakes import FakeStore, at_once
+from tests.fakes import FakeStore, skip_sleep
 
 
 def sign(token: str) -> Signature:
@@ -55,7 +55,7 @@
 
     async def asyncSetUp(self) -> None:
         self.store = FakeStore()
-        self.repository = PolicyRepository(self.store, at_once)
+        self.repository = PolicyRepository(self.store, skip_sleep)
         self.first = parsed(small_policy())
         accepted = await porcelain.apply(self.repository, self.first, ABSENT, sign("t1"))
         self.version = accepted.ok.revision.version
@@ -161,21 +161,21 @@
         entries = FakeEntries(["e1", "e2"])
         entries.set("e1", version=0, in_flight=0)
         entries.answers["e2"] = {"entry_id": "e2"}
-        fleet = await porcelain.status(PolicyRepository(FakeStore(), at_once), entries, entries)
+        fleet = await porcelain.status(PolicyRepository(FakeStore(), skip_sleep), entries, entries)
         self.assertEqual(list(fleet.unreachable_by_id), ["e2"])
 
     async def test_a_refused_lookup_is_an_answer(self) -> None:
         entries = FakeEntries(["e1", "e2"])
         entries.refusals["e1"] = {"code": 2107, "name": "NOT_READY"}
         entries.refusals["e2"] = {"code": 2001, "name": "UNKNOWN_SERVICE"}
-        repository = PolicyRepository(FakeStore(), at_once)
+        repository = PolicyRepository(FakeStore(), skip_sleep)
         report = await porcelain.lookup(repository, entries, entries, "nowhere", None)
         self.assertEqual((report.asked, report.refused), ("e2", True))
         self.assertEqual(list(report.not_answering), ["e1"])
 
     async def test_lookup_asks_the_next_entry(self) -> None:
         entries = FakeEntries(["e1", "e2"])
-        repository = PolicyRepository(FakeStore(), at_once)
+        repository = PolicyRepository(FakeStore(), skip_sleep)
         await porcelain.apply(repository, parsed(small_policy()), ABSENT, sign("t1"))
         with self.assertRaises(PeerError):
             await porcelain.lookup(repository, entries, entries, "times", None)
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -16,7 +16,7 @@
     history_name,
 )
 from tests.examples import small_policy
-from tests.fakes import FakeStore, at_once
+from tests.fakes import FakeStore, skip_sleep
 
 
 def draft(token: str) -> Draft:
@@ -29,7 +29,7 @@
 
     def setUp(self) -> None:
         self.store = FakeStore()
-        self.repository = PolicyRepository(self.store, at_once)
+        self.repository = PolicyRepository(self.store, skip_sleep)
 
     async def test_versions_rise_and_are_kept(self) -> None:
         await self.repository.accept(draft("t1"), ABSENT)
@@ -73,7 +73,7 @@
         # Our write takes effect, its answer is lost, and a colleague changes the policy before
         # we ask. Our change was in force and is in the history: it must not be called refused.
         await self.repository.accept(draft("t1"), ABSENT)
-        colleague = PolicyRepository(self.store, at_once)
+        colleague = PolicyRepository(self.store, skip_sleep)
         ours = self.store.put
 
         async def put(name: str, value: bytes, expected_version: int) -> int:
@@ -96,12 +96,12 @@
         self.assertEqual([r.token for r in history], ["theirs again", "theirs", "t2", "t1"])
 
     async def test_a_write_that_never_arrived_is_written_again(self) -> None:
-        self.store.unsent = 1
+        self.store.lost_requests = 1
         accepted = await self.repository.accept(draft("t1"), ABSENT)
         self.assertEqual(accepted.ok.version, 1)
 
     async def test_unsettled_and_unavailable_are_told_apart(self) -> None:
-        self.store.unsent = 100
+        self.store.lost_requests = 100
         with self.assertRaises(StoreUnclearError):
             await self.repository.accept(draft("t1"), ABSENT)
         self.store.down = True
@@ -130,7 +130,7 @@
         self.assertIn(history_name(version), self.store.objects)
 
     async def test_the_newest_revisions_are_kept_and_older_ones_deleted(self) -> None:
-        repository = PolicyRepository(self.store, at_once, keep=3)
+        repository = PolicyRepository(self.store, skip_sleep, keep=3)
         version = ABSENT
         for number in range(6):
             version = (await repository.accept(draft(f"t{number}"), version)).ok.version
@@ -141,7 +141,7 @@
 
     async def test_a_failed_deletion_keeps_more_and_never_less(self) -> None:
         # The author's program dies, or the store does, while an old revision is deleted.
-        repository = PolicyRepository(self.store, at_once, keep=2)
+        repository = PolicyRepository(self.store, skip_sleep, keep=2)
         first = (await repository.accept(draft("t0"), ABSENT)).ok.version
         second = (await repository.accept(draft("t1"), first)).ok.version
         delete = self.store.delete
--- a/tests/test_repository_race.py
+++ b/tests/test_repository_race.py
@@ -17,7 +17,7 @@
 from briarspur.repository import PolicyRepository
 from briarspur.revision import POLICY_NAME, Draft, Revision, decode_revision, history_name
 from tests.examples import small_policy
-from tests.fakes import at_once
+from tests.fakes import skip_sleep
 
 DOCUMENT = parse_policy(json.dumps(small_policy(targets=1, entries=1)))
 FAULTS = (*[None] * 12, *StoreFault, StoreFault.LOST_ANSWER)
@@ -37,7 +37,7 @@
 
 async def edit(store: MemoryStore, token: str, outcomes: Outcomes) -> None:
     """One operator reads the policy, edits it and has the edit accepted, refused or unsettled."""
-    repository = PolicyRepository(store, at_once)
+    repository = PolicyRepository(store, skip_sleep)
     draft = Draft(DOCUMENT, token, "", "", "")
     try:
         current = await repository.current()
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,8 +1,8 @@
-"""Several cores joined by a list of undelivered messages, with backend servers in memory.
+"""Several cores connected by a list of undelivered messages, with in-memory backend servers.
 
-The driver of the randomised runs: messages are delivered, lost or left lying in any order; backend
-servers run, shed or lose requests; entries are killed, replaced and told of one another late. It
-keeps the ledgers that the promises are checked against.
+Drives the randomised tests: messages are delivered, lost or delayed in any order; backend servers
+run, shed or lose requests; entries are killed, replaced and learn late of each other. It records
+which bookings ran and how calls ended, so that tests can check the guarantees.
 """
 
 import hashlib
@@ -46,19 +46,19 @@
 
 @dataclass(slots=True)
 class Hop:
-    """One request on its way to an entry, from a caller or from another entry."""
+    """A request on its way to an entry, sent by a caller or another entry."""
 
     request: Request
     to: str
     sender: str | None = None
     attempt_id: int = 0
-    relay: bool = False
+    relays_refusals: bool = False
     sender_incarnation: str = ""
 
 
 @dataclass(slots=True)
 class Run:
-    """One request handed to a backend server."""
+    """A request dispatched to a backend server."""
 
     entry: str
     incarnation: str
@@ -81,36 +81,36 @@
     runs: list[Run] = field(default_factory=list)
     ledger: Counter[str] = field(default_factory=Counter)
     hop_by_request: dict[tuple[str, str], Hop] = field(default_factory=dict)
-    finals: dict[str, Code] = field(default_factory=dict)
+    final_codes: dict[str, Code] = field(default_factory=dict)
     open_calls: dict[str, str] = field(default_factory=dict)
     key_by_call: dict[str, str] = field(default_factory=dict)
-    claims: dict[str, str] = field(default_factory=dict)
+    claim_holders: dict[str, str] = field(default_factory=dict)
     pending_claims: list[tuple[str, str, Claim]] = field(default_factory=list)
     policy: Policy | None = None
-    processes: int = 0
-    calls: int = 0
-    steps: Counter[str] = field(default_factory=Counter)
+    process_count: int = 0
+    call_count: int = 0
+    step_counts: Counter[str] = field(default_factory=Counter)
 
     def start(self) -> None:
-        """Start every entry with the same policy and view."""
+        """Start all entries with the same policy and view."""
         document = parse_policy(json.dumps(small_policy(entries=ENTRIES)))
         self.policy = compile_policy(document, version=1)
         for entry_id in document.entries:
             self.start_entry(entry_id)
-        self.tell_views()
+        self.update_views()
 
     def start_entry(self, entry_id: str) -> None:
-        """Start a new process of an entry, which knows nothing of the one before."""
+        """Start a new process of an entry, which has no state of the previous one."""
         assert self.policy is not None
-        self.processes += 1
+        self.process_count += 1
         region = REGIONS[(int(entry_id[-1]) - 1) // ENTRIES]
-        core = Core(entry_id, region, body(self.processes), self.rng, self.now)
+        core = Core(entry_id, region, body(self.process_count), self.rng, self.now)
         table = BlockTable.from_prefixes(self.policy.default_home, self.policy.homes_by_prefix)
         core.policy_accepted(self.policy, table.home, self.now)
         self.cores[entry_id] = core
 
-    def true_view(self) -> MemberView:
-        """Return the view of one who sees every live process."""
+    def actual_view(self) -> MemberView:
+        """Return the view that contains every live process."""
         full = make_view(ENTRIES, REGIONS).by_id
         return MemberView(
             {
@@ -119,16 +119,16 @@
             }
         )
 
-    def tell_views(self, only: str | None = None) -> None:
-        """Let all entries, or one of them, see who is live now."""
-        view = self.true_view()
+    def update_views(self, only: str | None = None) -> None:
+        """Give all entries, or one of them, the current view."""
+        view = self.actual_view()
         for entry_id, core in list(self.cores.items()):
             if only in (None, entry_id):
                 self.carry_out(entry_id, core.view_changed(view, self.now))
 
     def kill(self, entry_id: str) -> None:
-        """End a process at once; what it had handed to backend servers goes on there."""
-        self.steps["kill"] += 1
+        """Kill a process; requests that it dispatched to backend servers continue there."""
+        self.step_counts["kill"] += 1
         del self.cores[entry_id]
         for hop in [h for h in self.hop_by_request.values() if h.to == entry_id]:
             self._lose_hop(hop, Failure.LOST)
@@ -136,9 +136,9 @@
     # Callers
 
     def call(self, entry_id: str, key: str | None, number: int, block: int = 1) -> str:
-        """Let a caller send a request to an entry."""
-        self.calls += 1
-        call = f"c{self.calls}"
+        """Send a request from a caller to an entry."""
+        self.call_count += 1
+        call = f"c{self.call_count}"
         method, path = ("POST", f"/booking/{key}") if key else ("GET", f"/times/{number}")
         digest = hashlib.sha256(f"{method} {path}".encode()).digest()
         request = Request(call, method, path, key, digest, block, self.now + 60.0)
@@ -149,16 +149,18 @@
         return call
 
     def new_key(self, entry_id: str) -> str | None:
-        """Return a key as a look-up that names this entry first would hand it out."""
+        """Return a key as issued by a look-up that lists this entry first."""
         core = self.cores.get(entry_id)
         if core is None:
             return None
         prefix = make_prefix(core.keys.incarnation, int(WALL + self.now) + 200)
-        return f"{prefix}.call-{self.calls:08d}"
+        return f"{prefix}.call-{self.call_count:08d}"
 
-    def _final(self, call: str, code: Code) -> None:
-        assert call not in self.finals, f"{call} answered twice: {self.finals[call]!r}, {code!r}"
-        self.finals[call] = code
+    def _record_final(self, call: str, code: Code) -> None:
+        assert (
+            call not in self.final_codes
+        ), f"{call} answered twice: {self.final_codes[call]!r}, {code!r}"
+        self.final_codes[call] = code
         self.open_calls.pop(call, None)
         key = self.key_by_call.get(call)
         if key is not None and CODES[code].ran is Ran.NO:
@@ -168,30 +170,30 @@
     # Messages
 
     def deliver(self, index: int) -> None:
-        """Deliver one undelivered message; its receiver may be gone or replaced."""
+        """Deliver one message; its receiver may have been killed or replaced."""
         hop = self.hops.pop(index % len(self.hops))
         core = self.cores.get(hop.to)
         if core is None:
             self._lose_hop(hop, Failure.NOT_SENT)
             return
-        self.steps["deliver"] += 1
+        self.step_counts["deliver"] += 1
         self.hop_by_request[hop.to, hop.request.request_id] = hop
         self.carry_out(hop.to, core.request_arrived(hop.request, self.now, WALL + self.now))
 
     def drop(self, index: int) -> None:
-        """Lose a message, or the connection it was sent on."""
-        self.steps["drop"] += 1
+        """Lose a message or the connection that it was sent on."""
+        self.step_counts["drop"] += 1
         self._lose_hop(self.hops.pop(index % len(self.hops)), Failure.LOST)
 
     def _lose_hop(self, hop: Hop, failure: Failure) -> None:
         self.hop_by_request.pop((hop.to, hop.request.request_id), None)
         if hop.sender is None:
-            # The caller sees its connection break; what it may conclude is nothing at all.
+            # The caller's connection breaks, from which it may conclude nothing.
             self.open_calls.pop(hop.request.request_id, None)
             return
-        self._tell_sender(hop, failure)
+        self._report_failure(hop, failure)
 
-    def _tell_sender(self, hop: Hop, failure: Failure) -> None:
+    def _report_failure(self, hop: Hop, failure: Failure) -> None:
         core = self.cores.get(hop.sender or "")
         if core is not None and core.keys.incarnation == hop.sender_incarnation:
             self.carry_out(core.entry_id, core.attempt_failed(hop.attempt_id, failure, self.now))
@@ -199,9 +201,9 @@
     # Backend servers
 
     def finish_run(self, index: int, outcome: str) -> None:
-        """Let a backend server finish a run: ``answer``, ``shed``, ``lost`` or ``crash``."""
+        """Finish a run: ``answer``, ``shed``, ``lost``, ``lost-after`` (it ran) or ``crash``."""
         run = self.runs[index % len(self.runs)]
-        self.steps[f"run-{outcome}"] += 1
+        self.step_counts[f"run-{outcome}"] += 1
         ran = outcome in ("answer", "lost-after")
         if ran and run.key is not None and not run.recorded:
             self.ledger[run.key] += 1
@@ -223,7 +225,7 @@
     # Actions
 
     def carry_out(self, entry_id: str, actions: list[Action]) -> None:
-        """Carry out what a core decided."""
+        """Carry out the actions of a core."""
         for action in actions:
             self._carry_out(entry_id, action)
 
@@ -290,12 +292,12 @@
         )
 
     def settle_claim(self, index: int, reaches_store: bool) -> None:
-        """Let one claim reach the store, or none: a claim of an earlier try counts as taken."""
+        """Settle a claim, which reaches the store or not; an existing claim counts as taken."""
         entry_id, incarnation, claim = self.pending_claims.pop(index % len(self.pending_claims))
         settled = SettledClaim(ClaimResult.UNSETTLED)
         if reaches_store:
-            holder = self.claims.get(claim.key)
-            self.claims.setdefault(claim.key, incarnation)
+            holder = self.claim_holders.get(claim.key)
+            self.claim_holders.setdefault(claim.key, incarnation)
             result = ClaimResult.ACQUIRED if holder is None else ClaimResult.TAKEN
             settled = SettledClaim(result, holder)
         core = self.cores.get(entry_id)
@@ -303,14 +305,14 @@
             self.carry_out(entry_id, core.claim_settled(claim.request_id, settled, self.now))
 
     def hang_up(self, index: int) -> None:
-        """Let a caller whose request is at an entry go away."""
+        """Disconnect a caller whose request is at an entry."""
         calls = sorted(self.open_calls)
         call = calls[index % len(calls)]
         hop = self.hop_by_request.pop((self.open_calls[call], call), None)
         core = self.cores.get(self.open_calls[call])
         if hop is not None and core is not None:
             del self.open_calls[call]
-            self.steps["hang-up"] += 1
+            self.step_counts["hang-up"] += 1
             self.carry_out(core.entry_id, core.caller_gone(call, self.now))
 
     def _answer_hop(
@@ -320,12 +322,12 @@
         if hop is None:
             return
         if hop.sender is None:
-            self._final(request_id, code)
+            self._record_final(request_id, code)
             return
         core = self.cores.get(hop.sender)
         if core is None or core.keys.incarnation != hop.sender_incarnation:
             return
-        if answer is not None or hop.relay:
+        if answer is not None or hop.relays_refusals:
             self._relay(core, hop, code, answer)
             return
         ran = CODES[code].ran
@@ -333,7 +335,7 @@
         self.carry_out(core.entry_id, core.attempt_failed(hop.attempt_id, failure, self.now))
 
     def _relay(self, core: Core, hop: Hop, code: Code, answer: Answer | None) -> None:
-        """Pass an answer, or the refusal of a key's home, on to the caller of the first entry."""
+        """Relay an answer, or the refusal of a key's home, to the caller of the first entry."""
         began = core.answer_began(hop.attempt_id, 200, self.now)
         for action in began:
             if isinstance(action, Begin):
@@ -345,13 +347,13 @@
     # Time
 
     def advance(self, seconds: float) -> None:
-        """Let time pass; every live entry looks at what waits."""
+        """Advance the clock and tick every live core."""
         self.now += seconds
         for entry_id, core in list(self.cores.items()):
             self.carry_out(entry_id, core.tick(self.now, WALL + self.now))
 
     def in_flight(self, region: str) -> int:
-        """Return how many requests run for live processes in a region."""
+        """Return the number of requests that run for live processes in a region."""
         return sum(
             1
             for run in self.runs
