--- a/briarspur/attempts.py
+++ b/briarspur/attempts.py
@@ -59,7 +59,7 @@
     Attributes
     ----------
     caller : Caller or None
-        None once the caller is gone or has its final answer.
+        None once the caller has disconnected or got its final answer.
     bytes_sent : int
         Body bytes sent to the caller.
     first_head : AnswerHead or None
--- a/briarspur/messages.py
+++ b/briarspur/messages.py
@@ -61,7 +61,7 @@
 
 
 class Failure(Enum):
-    """How an attempt ended without a whole answer.
+    """How an attempt ended without a complete answer.
 
     Only ``NOT_SENT`` and ``SHED`` prove that the request was not run: no byte of it was written to
     a transport, or the backend server reported it.
--- a/briarspur/pipeline.py
+++ b/briarspur/pipeline.py
@@ -298,7 +298,7 @@
         out: list[Action],
         proof: NotRunProof | None = None,
     ) -> None:
-        """Refuse a request that was not run."""
+        """Refuse a request that was not run; ``proof`` is needed if its key was dispatched."""
         if work.attempt_count == 0 or proof is not None:
             self._routing.not_sent(work)
         self._requests.reject_not_run(work, refusal, out, proof)
--- a/briarspur/requesttable.py
+++ b/briarspur/requesttable.py
@@ -64,7 +64,10 @@
         out: list[Action],
         proof: NotRunProof | None = None,
     ) -> None:
-        """Refuse a request that was not run, also for every joined caller."""
+        """Refuse the caller of a request that was not run, and those that joined it.
+
+        If the key may have run, they get a refusal that says that the outcome is unknown.
+        """
         if work.key is None:
             self.finish(work, refusal, out)
             return
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -163,15 +163,15 @@
         """Guards against using a server's slots twice, so that it sheds a booking.
 
         The owner of a server with three slots is cut off while three requests run; the new owner
-        uses all slots at once.
+        uses all slots immediately.
         """
         invariants.strict = True
         document = small_policy(targets=6, entries=2)
         core = make_core("entry-1", random.Random(1), entries=2, document=document)
         times = core.placement.targets_by_service["times"]
         before = set(times.by_id)
-        alone = {i: m for i, m in core.view.by_id.items() if i != "entry-2"}
-        core.view_changed(MemberView(alone), 10.0)
+        remaining = {i: m for i, m in core.view.by_id.items() if i != "entry-2"}
+        core.view_changed(MemberView(remaining), 10.0)
         taken_over = [own for target_id, own in times.by_id.items() if target_id not in before]
         self.assertTrue(taken_over)
         assert core.policy is not None
@@ -236,9 +236,9 @@
         for window in range(2):
             self._codes(3 * self.SHARE, now=window * self.WINDOW + 1.0)
         codes = self._codes(4 * self.SHARE, now=2 * self.WINDOW + 1.0)
-        passed = [code for code in codes if code is not Code.SHIFT_CAPPED]
+        admitted = [code for code in codes if code is not Code.SHIFT_CAPPED]
         # Two requests occupy the first slots of the two targets since the first window.
-        self.assertLessEqual(len(passed), self.SHARE + 2)
+        self.assertLessEqual(len(admitted), self.SHARE + 2)
 
     def _codes(self, count: int, now: float) -> list[Code | None]:
         """Send requests from callers in the north; return the code of each refusal."""
