--- a/briarspur/placement.py
+++ b/briarspur/placement.py
@@ -15,7 +15,7 @@
 from briarspur.policy import Policy, Target
 from briarspur.refusal import Refusal
 from briarspur.target import Chooser, OwnTarget, OwnTargets
-from briarspur.waiting import Waiting
+from briarspur.waitqueue import WaitQueue
 from briarspur.work import Work
 
 __all__ = ["Placement", "PlacementResult", "Queued", "Refused", "ToEntry", "ToTarget"]
@@ -105,7 +105,7 @@
         self._chooser = chooser
         self._rng = rng
         self._queue_limit = queue_limit
-        self._queues_by_service: dict[str, Waiting] = {}
+        self._queues_by_service: dict[str, WaitQueue] = {}
         self._owners_by_flow: dict[tuple[str, str], list[ViewedMember]] = {}
         self._has_limit = False
 
@@ -140,7 +140,7 @@
         if service not in self.targets_by_service:
             self.targets_by_service[service] = OwnTargets(service, self._chooser)
             self.outliers_by_service[service] = OutlierDetector()
-            self._queues_by_service[service] = Waiting(self._queue_limit)
+            self._queues_by_service[service] = WaitQueue(self._queue_limit)
 
     def _assign_service(
         self, service: str, targets: list[Target], view: MemberView, now: float
@@ -216,7 +216,7 @@
     def _free_slots_of_other_services(self, service: str, now: float) -> int:
         """Return the number of free slots of own targets of all other services."""
         others = [t for name, t in self.targets_by_service.items() if name != service]
-        return sum(targets.free(now) for targets in others)
+        return sum(targets.free_slots(now) for targets in others)
 
     def _least_loaded_entry(self, work: Work, now: float) -> ViewedMember | None:
         """Return the other owner in the region with the most estimated free slots."""
@@ -224,7 +224,7 @@
             member
             for member in self._owners_by_flow.get((work.service.name, work.region), [])
             if member.address.entry_id != self._entry_id
-            and member.address.entry_id not in work.full_entries
+            and member.address.entry_id not in work.failed_entries
         ]
         if not owners:
             return None
@@ -246,8 +246,8 @@
             return False
         targets = self.targets_by_service[work.service.name]
         ahead = self._queues_by_service[work.service.name].ahead_of(work.priority)
-        wait = targets.wait_for(ahead, now) + targets.mean_latency
-        return targets.taking(now, work.failed_targets) and now + wait < work.deadline
+        wait = targets.estimate_wait(ahead, now) + targets.mean_latency
+        return targets.accepts_work(now, work.failed_targets) and now + wait < work.deadline
 
     def _enqueue(self, work: Work, now: float) -> PlacementResult:
         evicted = self._queues_by_service[work.service.name].push(work)
@@ -255,7 +255,7 @@
 
     def _refusal(self, work: Work, now: float) -> Refusal:
         service = work.service.name
-        if work.region != self.region or not self.targets_by_service[service].taking(now):
+        if work.region != self.region or not self.targets_by_service[service].accepts_work(now):
             return Refusal(Code.NO_TARGET, service, self.retry_after(service, now))
         full = self.account.held(now) <= self.account.in_use
         code = Code.REGION_FULL if full else Code.OVERLOADED
@@ -269,7 +269,7 @@
         """Return the estimated seconds to drain the queue, with jitter to keep retries apart."""
         targets = self.targets_by_service.get(service)
         waiting = self._queues_by_service.get(service)
-        wait = targets.wait_for(len(waiting), now) if targets and waiting is not None else inf
+        wait = targets.estimate_wait(len(waiting), now) if targets and waiting is not None else inf
         if wait == inf:
             # Without a target there is no wait to estimate; the next view may bring a target.
             wait = NO_TARGET_RETRY_AFTER_S
@@ -298,8 +298,8 @@
             if not len(queue):
                 continue
             targets = self.targets_by_service[service]
-            waits = [targets.wait_for(n, now) for n in range(len(queue))]
-            late = queue.hopeless(now, waits, targets.mean_latency)
+            waits = [targets.estimate_wait(n, now) for n in range(len(queue))]
+            late = queue.remove_late(now, waits, targets.mean_latency)
             removed += late
         return removed
 
@@ -308,7 +308,7 @@
         for targets in self.targets_by_service.values():
             own = targets.by_id.get(target_id)
             if own is not None:
-                own.signal_until = until
+                own.reported_leaving_until = until
 
     def dequeue(self, work: Work) -> None:
         """Remove a request from the queue if it is waiting."""
@@ -325,7 +325,7 @@
     def load_reports(self, now: float) -> Iterable[LoadReport]:
         """Yield the reports on this entry's free slots that other entries receive."""
         for service, targets in self.targets_by_service.items():
-            if targets.taking(now):
-                free = min(targets.free(now), self.account.free(now, now))
+            if targets.accepts_work(now):
+                free = min(targets.free_slots(now), self.account.free(now, now))
                 queued = len(self._queues_by_service[service])
                 yield LoadReport(self._entry_id, service, max(free, 0), queued)
--- a/briarspur/planner.py
+++ b/briarspur/planner.py
@@ -15,7 +15,7 @@
 from briarspur.coord.invariants import invariants
 from briarspur.loadreport import LoadDocument
 from briarspur.measurements import Measurements, Picture
-from briarspur.messages import MovedBy
+from briarspur.messages import ShiftKind
 from briarspur.plan import PlanDocument, PlanSplit
 from briarspur.policy import Policy
 from briarspur.splits import Shares, are_close, policy_split, round_shares, step_within_caps
@@ -243,10 +243,10 @@
             if are_close(shares, policy_split(policy, service, home)):
                 continue
             previous = self._plan.splits.get(service, {}).get(home)
-            moved_by = previous.moved_by if previous is not None else MovedBy.PLANNED
+            moved_by = previous.moved_by if previous is not None else ShiftKind.PLANNED
             if shares != before[home]:
                 returns_home = shares.get(home, 0.0) > before[home].get(home, 0.0)
-                moved_by = MovedBy.RETURN if returns_home else MovedBy.PLANNED
+                moved_by = ShiftKind.RETURN if returns_home else ShiftKind.PLANNED
             documents[home] = PlanSplit(shares=round_shares(shares), moved_by=moved_by)
         return documents
 
--- a/briarspur/region.py
+++ b/briarspur/region.py
@@ -7,7 +7,7 @@
 from expression import Error, Ok, Result
 
 from briarspur.codes import Code
-from briarspur.messages import MovedBy
+from briarspur.messages import ShiftKind
 from briarspur.policy import Policy, Service
 from briarspur.refusal import Refusal
 
@@ -16,7 +16,7 @@
 Splits = Mapping[str, Mapping[str, Mapping[str, float]]]
 """Share of callers that each region serves, by service, home region and serving region."""
 
-ShiftAdmission = Callable[[str, str, str, MovedBy], bool]
+ShiftAdmission = Callable[[str, str, str, ShiftKind], bool]
 """Called with service, home, region and kind; returns False if the shift cap is reached."""
 
 
@@ -25,7 +25,7 @@
     """The chosen region, and the kind of shift if it is not the home region."""
 
     region: str
-    moved_by: MovedBy | None
+    moved_by: ShiftKind | None
 
 
 class RegionChooser:
@@ -104,11 +104,11 @@
     ) -> RegionChoice | None:
         """Return the drawn region, else the home region, as the caps allow; None if neither."""
         if drawn == home:
-            allowed = admit_shift(service.name, home, home, MovedBy.RETURN)
+            allowed = admit_shift(service.name, home, home, ShiftKind.RETURN)
             return RegionChoice(home, None) if allowed else None
-        if admit_shift(service.name, home, drawn, MovedBy.PLANNED):
-            return RegionChoice(drawn, MovedBy.PLANNED)
-        if is_usable(home) and admit_shift(service.name, home, home, MovedBy.RETURN):
+        if admit_shift(service.name, home, drawn, ShiftKind.PLANNED):
+            return RegionChoice(drawn, ShiftKind.PLANNED)
+        if is_usable(home) and admit_shift(service.name, home, home, ShiftKind.RETURN):
             return RegionChoice(home, None)
         return None
 
@@ -125,10 +125,10 @@
         for region in (home, *self.spill_order(home)):
             if region == excluded or not is_usable(region):
                 continue
-            moved_by = None if region == home else MovedBy.EMERGENCY
+            moved_by = None if region == home else ShiftKind.EMERGENCY
             # Home traffic is counted too. Otherwise it would look like a return to home in the next
             # window, and what exceeds the cap on returns would be refused.
-            if admit_shift(service.name, home, region, moved_by or MovedBy.RETURN):
+            if admit_shift(service.name, home, region, moved_by or ShiftKind.RETURN):
                 return Ok(RegionChoice(region, moved_by))
             capped = True
         code = Code.SHIFT_CAPPED if capped else Code.NO_TARGET
--- a/tests/test_limit_scenarios.py
+++ b/tests/test_limit_scenarios.py
@@ -7,7 +7,7 @@
 from briarspur.codes import CODES, Code, Ran, Repeat
 from briarspur.coord.invariants import invariants
 from briarspur.members import MemberView
-from briarspur.messages import MovedBy
+from briarspur.messages import ShiftKind
 from tests.world import ENTRIES, Run, World
 
 WINDOW_S = 5.0
@@ -68,9 +68,9 @@
     def _call(self, home: str) -> None:
         entries = NORTH_ENTRIES if home == "north" else SOUTH_ENTRIES
         live = [e for e in entries if e in self.world.cores] or sorted(self.world.cores)
-        entry = live[self.world.calls % len(live)]
+        entry = live[self.world.call_count % len(live)]
         block = SOUTH_BLOCK if home == "south" else 1
-        call = self.world.call(entry, None, self.world.calls, block)
+        call = self.world.call(entry, None, self.world.call_count, block)
         self._home_by_call[call] = home
 
     def _record_runs(self) -> None:
@@ -106,12 +106,12 @@
         for name, region in world.policy.regions_by_name.items():
             self.assertLessEqual(traffic.max_in_flight[name], region.in_flight_limit)
         caps = world.policy.caps_by_kind
-        cap = caps[MovedBy.PLANNED].requests + caps[MovedBy.EMERGENCY].requests
+        cap = caps[ShiftKind.PLANNED].requests + caps[ShiftKind.EMERGENCY].requests
         for window, shifted in traffic.shifted_by_window.items():
             before = traffic.shifted_by_window.get(window - 1, Counter())
             for flow, count in shifted.items():
                 self.assertLessEqual(count, before[flow] + cap, (window, flow))
-        for code in world.finals.values():
+        for code in world.final_codes.values():
             info = CODES[code]
             if info.ran is Ran.NO and code is not Code.NO_TARGET:
                 self.assertIs(info.repeat, Repeat.AFTER_RETRY_AFTER)
@@ -130,7 +130,7 @@
         traffic.run(10.0)
         for entry in NORTH_ENTRIES:
             traffic.world.kill(entry)
-        traffic.world.tell_views()
+        traffic.world.update_views()
         traffic.run(30.0)
         self.check_limits(traffic)
         moved = traffic.shifted_by_window[max(traffic.shifted_by_window)]["north", "south"]
@@ -158,7 +158,7 @@
         self.drain(traffic)
         self.check_limits(traffic)
         self.assertEqual([traffic.world.ledger[key] for key in keys], [1] * 10)
-        refused = [c for c in traffic.world.finals.values() if CODES[c].ran is Ran.NO]
+        refused = [c for c in traffic.world.final_codes.values() if CODES[c].ran is Ran.NO]
         self.assertGreater(len(refused), 100)
 
     def test_plans_are_replayed_and_duplicated(self) -> None:
@@ -185,12 +185,12 @@
         traffic = Traffic({"north": 4.0, "south": 1.0})
         traffic.run(5.0)
         world = traffic.world
-        view = world.true_view().by_id
+        view = world.actual_view().by_id
         for entry, other in (NORTH_ENTRIES, NORTH_ENTRIES[::-1]):
             isolated_view = MemberView({name: m for name, m in view.items() if name != other})
             world.carry_out(entry, world.cores[entry].view_changed(isolated_view, world.now))
         traffic.run(15.0)
-        world.tell_views()
+        world.update_views()
         traffic.run(10.0)
         self.check_limits(traffic)
         self.drain(traffic)
@@ -205,11 +205,11 @@
         world = traffic.world
         for entry in NORTH_ENTRIES:
             world.kill(entry)
-        world.tell_views()
+        world.update_views()
         traffic.run(20.0)
         for entry in NORTH_ENTRIES:
             world.start_entry(entry)
-        world.tell_views()
+        world.update_views()
         traffic.run(20.0)
         self.check_limits(traffic)
         self.drain(traffic)
