--- a/briarspur/platform/__init__.py
+++ b/briarspur/platform/__init__.py
@@ -1,1 +1,1 @@
-"""How the gateway meets the platform: names, formats and calls; nothing here decides anything."""
+"""Adapter between the gateway and the platform: names, formats and calls, and no decisions."""
--- a/briarspur/platform/__main__.py
+++ b/briarspur/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Starts a gateway on the platform."""
+"""Entry point of a gateway on the platform."""
 
 import gc
 import sys
@@ -7,9 +7,9 @@
 
 
 def main() -> int:
-    """Import the program and run it."""
-    # Imports make many objects and hardly any garbage, so collections meanwhile find nothing, and
-    # later ones need not look at what was imported.
+    """Import the gateway and run it."""
+    # Imports create many objects and hardly any garbage, so garbage collection during the import
+    # is wasted work. Freezing excludes the imported objects from all later collections.
     gc.disable()
     from briarspur.platform import gateway
 
--- a/briarspur/platform/documents.py
+++ b/briarspur/platform/documents.py
@@ -1,7 +1,7 @@
-"""The specs of the platform's objects, decoded into the gateway's types.
+"""Conversion between the specs of the platform's objects and the gateway's types.
 
-An object that can't be read is an error with its reason; the caller logs it and goes on with the
-others.
+A malformed object gives an error with the reason; the caller logs it and continues with the other
+objects.
 """
 
 from typing import Any, Literal
@@ -18,14 +18,14 @@
     "decode_entry",
     "decode_registration",
     "encode_entry",
-    "essence",
+    "relevant_part",
 ]
 
 MS = 1_000.0
 
 
 class _Spec(BaseModel):
-    """A part of the platform's documents; fields that we do not know are left alone."""
+    """Base of the models of the platform's documents; unknown fields are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True, strict=True)
 
@@ -35,11 +35,11 @@
     address: str = Field(pattern=r"^[0-9.]+:\d{1,5}$")
     zone: str = Field(min_length=1)
     slots: int = Field(ge=1)
-    # Two states are named by the protocol; an entry with any other one is not to be used.
+    # The protocol defines these two states; a registration in any other state must not be used.
     state: Literal["ready", "draining"]
-    # How long it stays slow from now on, not since when.
+    # The remaining time in which the server is slow, not the time since it started.
     warmupLeftMs: float = Field(default=0.0, ge=0.0)  # noqa: N815
-    # When this incarnation started: unix milliseconds. Absent from servers that never restart.
+    # Start of this incarnation in Unix milliseconds; absent from servers that never restart.
     born: int = 0
 
 
@@ -55,10 +55,11 @@
     link_mbps: float = Field(default=DEFAULT_LINK_MBPS, gt=0.0)
 
 
-def essence(kind: Kind, value: Any) -> Any:
-    """Return the part of a stored value whose change matters to entries.
+def relevant_part(kind: Kind, value: Any) -> Any:
+    """Return the part of a stored value whose changes are relevant to entries.
 
-    A registration counts its renewals in ``seq``, and each renewal is a change of the object.
+    Each renewal of a registration increments its ``seq``, which changes the stored object although
+    nothing else has changed.
     """
     if kind is not Kind.TARGETS or not isinstance(value, dict):
         return value
@@ -66,29 +67,29 @@
 
 
 def decode_registration(name: str, value: Any) -> Result[Registration, str]:
-    """Return what a backend server says of itself."""
+    """Parse the registration of a backend server."""
     try:
-        entry = _Registration.model_validate(value)
+        registration = _Registration.model_validate(value)
     except ValidationError as error:
         return Error(first_fault(error))
-    host, _, port = entry.address.rpartition(":")
+    host, _, port = registration.address.rpartition(":")
     return Ok(
         Registration(
             target_id=name,
-            born=entry.born,
-            service=entry.service,
+            born=registration.born,
+            service=registration.service,
             host=host,
             port=int(port),
-            zone=entry.zone,
-            slots=entry.slots,
-            draining=entry.state == "draining",
-            cold_s=entry.warmupLeftMs / MS,
+            zone=registration.zone,
+            slots=registration.slots,
+            draining=registration.state == "draining",
+            cold_s=registration.warmupLeftMs / MS,
         )
     )
 
 
 def decode_entry(name: str, value: Any) -> Result[EntryRecord, str]:
-    """Return what another entry says of itself."""
+    """Parse the record of another entry."""
     try:
         entry = _Entry.model_validate(value)
     except ValidationError as error:
@@ -97,7 +98,7 @@
 
 
 def encode_entry(record: EntryRecord) -> dict[str, Any]:
-    """Return what this entry writes about itself."""
+    """Return the record of this entry in its stored form."""
     return {
         "started": record.started,
         "host": record.host,
--- a/briarspur/platform/faults.py
+++ b/briarspur/platform/faults.py
@@ -1,4 +1,4 @@
-"""What is wrong with a document of the platform, in one line."""
+"""Validation errors of platform documents, formatted on one line."""
 
 from pydantic import ValidationError
 
@@ -6,6 +6,6 @@
 
 
 def first_fault(error: ValidationError) -> str:
-    """Return the first fault of a document with its place."""
+    """Return the path and message of the first error in a document."""
     first = error.errors(include_url=False, include_input=False)[0]
     return f"{'.'.join(str(part) for part in first['loc'])}: {first['msg']}"
--- a/briarspur/platform/gateway.py
+++ b/briarspur/platform/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway as it runs on the platform."""
+"""The gateway, configured for the platform."""
 
 import os
 from collections.abc import Iterable
@@ -33,36 +33,36 @@
     ready_path = lookup.READY_PATH
 
     def relevant_part(self, kind: Kind, value: Any) -> Any:
-        """Return the part of a stored value whose change matters to entries."""
-        return documents.essence(kind, value)
+        """Return the part of a stored value whose changes are relevant to entries."""
+        return documents.relevant_part(kind, value)
 
     def configuration(self, value: Any) -> Result[ReadConfiguration, str]:
-        """Return what a stored configuration says, or why none of it can be used."""
+        """Return a stored configuration, or the reason why none of it can be used."""
         return configdocument.decode_configuration(value)
 
     def registration(self, name: str, value: Any) -> Result[Registration, str]:
-        """Return a backend server's registration, or what is wrong with it."""
+        """Return the registration of a backend server, or an error message."""
         return documents.decode_registration(name, value)
 
     def entry(self, name: str, value: Any) -> Result[EntryRecord, str]:
-        """Return an entry's record, or what is wrong with it."""
+        """Return the record of an entry, or an error message."""
         return documents.decode_entry(name, value)
 
     def entry_value(self, record: EntryRecord) -> dict[str, Any]:
-        """Return an entry's record as it is stored."""
+        """Return the record of an entry in its stored form."""
         return documents.encode_entry(record)
 
     def lookup_location(self, query: bytes) -> tuple[str, str]:
-        """Return region and availability zone that a look-up comes from."""
-        return lookup.place_of(query)
+        """Return the region and availability zone of the caller that sent a look-up."""
+        return lookup.caller_location(query)
 
     def lookup_body(self, entries: Iterable[EntryRecord], lifetime: float) -> bytes:
-        """Return the answer to a look-up."""
+        """Return the response body for a look-up."""
         return lookup.lookup_body(entries, lifetime)
 
 
 def build(settings: GatewaySettings) -> Gateway:
-    """Return the gateway of some settings."""
+    """Create a gateway from its settings."""
     host, _, port = settings.store.address.rpartition(":")
     client = PlatformClient(
         PlatformSettings(
@@ -76,5 +76,5 @@
 
 
 def main() -> int:
-    """Run the gateway with the settings file that the platform names."""
+    """Run the gateway with the settings file that the platform passes in the environment."""
     return run_file("briarspur-gateway", GatewaySettings, build, os.environ[SETTINGS_VARIABLE])
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's documents: what can be read, and what is skipped with a reason."""
+"""Tests of the conversion of the platform's documents, valid and malformed."""
 
 import unittest
 from typing import Any
@@ -12,7 +12,7 @@
     decode_entry,
     decode_registration,
     encode_entry,
-    essence,
+    relevant_part,
 )
 
 FIXED = settings(derandomize=True, deadline=None, database=None)
@@ -36,16 +36,16 @@
 
 
 class RegistrationTest(unittest.TestCase):
-    """One server that can't be read harms no other."""
+    """A malformed registration gives an error, so that it affects no other server."""
 
-    def test_a_whole_one(self) -> None:
+    def test_a_valid_registration_is_parsed(self) -> None:
         read = decode_registration("t-1", SERVER).ok
         self.assertEqual(("10.1.0.9", 8080, 1.5), (read.host, read.port, read.cold_s))
         self.assertEqual(("t-1", 1_700_000_000_000), read.incarnation)
         self.assertFalse(read.draining)
         self.assertTrue(decode_registration("t", {**SERVER, "state": "draining"}).ok.draining)
 
-    def test_faults_have_a_reason(self) -> None:
+    def test_the_error_names_the_invalid_field(self) -> None:
         for field, value in (
             ("state", "resting"),
             ("slots", "4"),
@@ -66,16 +66,16 @@
         decode_registration("t-1", value)
         decode_entry("e-1", value)
 
-    def test_a_renewal_changes_nothing_that_matters(self) -> None:
+    def test_a_renewal_does_not_change_the_relevant_part(self) -> None:
         renewed = {**SERVER, "seq": 5}
-        self.assertEqual(essence(Kind.TARGETS, SERVER), essence(Kind.TARGETS, renewed))
+        self.assertEqual(relevant_part(Kind.TARGETS, SERVER), relevant_part(Kind.TARGETS, renewed))
         cold = {**SERVER, "warmupLeftMs": 0}
-        self.assertNotEqual(essence(Kind.TARGETS, SERVER), essence(Kind.TARGETS, cold))
+        self.assertNotEqual(relevant_part(Kind.TARGETS, SERVER), relevant_part(Kind.TARGETS, cold))
 
 
 class EntryTest(unittest.TestCase):
-    """What an entry writes, others read."""
+    """The record that one entry stores can be parsed by the others."""
 
-    def test_both_ways(self) -> None:
+    def test_an_encoded_record_decodes_to_the_same_record(self) -> None:
         record = EntryRecord("e-1", 5, "10.0.0.1", "a-1", "a", 80, 81, 82)
         self.assertEqual(record, decode_entry("e-1", encode_entry(record)).ok)
