--- a/briarspur/platform/calls.py
+++ b/briarspur/platform/calls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store in its published form, and their answers decoded."""
+"""Calls to the platform's object store over its published protocol."""
 
 import json
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
     "Item",
     "Items",
     "StoreCalls",
-    "Written",
+    "WriteResult",
     "write_error",
 ]
 
@@ -33,9 +33,9 @@
 NOT_FOUND = 404
 CONFLICT = 409
 GONE = 410
-TOO_MANY = 429
+TOO_MANY_REQUESTS = 429
 UNAVAILABLE = 503
-MS = 1_000
+MS_PER_S = 1_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,8 +57,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
-    """The answer to a write: its status, and the object as it is then, if the answer names it."""
+class WriteResult:
+    """The response to a write: its status, and the object after it if the response includes one."""
 
     status: int
     item: Item | None
@@ -72,37 +72,41 @@
         self._client = client
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         await self._client.close()
 
-    async def all(self, kind: str, prefix: str = "", may_be_old: bool = False) -> Items:
-        """Return the objects of a kind whose names go on after ``prefix``, page by page."""
+    async def list_objects(self, kind: str, prefix: str = "", allow_stale: bool = False) -> Items:
+        """Return the objects of a kind whose names start with ``prefix``, fetched page by page.
+
+        ``allow_stale`` permits the store to answer from an older state.
+        """
         found: list[Item] = []
         revision: int | None = None
         after = prefix
         while True:
-            page = await self._page(_path(kind) + _list_query(after, may_be_old))
-            # A change made while the pages are read has a revision above the first page's, so a
-            # watch from there tells of it again; from the last page's it could be missed.
-            first = _integer(page, "storeRevision")
-            revision = first if revision is None else revision
+            page = await self._page(_path(kind) + _list_query(after, allow_stale))
+            # A change made between two pages has a higher revision than the first page, so a watch
+            # from the first page's revision reports it again. A watch from the last page's revision
+            # could miss it.
+            page_revision = _integer(page, "storeRevision")
+            revision = page_revision if revision is None else revision
             items = _list(page, "items")
             read = [item for each in items if (item := _item(each))]
             found.extend(item for item in read if item.name.startswith(prefix))
-            # Pages are ordered by name, so nothing of the prefix follows another name.
+            # Pages are ordered by name, so no match follows a name without the prefix.
             if not page.get("hasMore") or (read and not read[-1].name.startswith(prefix)):
                 return Items(revision, tuple(found))
             after = _last_name(items)
 
     async def changes(self, kind: str, revision: int, wait: float) -> Items:
-        """Return what changed since a revision; wait up to ``wait`` seconds for a change.
+        """Return the changes since a revision; wait up to ``wait`` seconds for the first one.
 
         Raises
         ------
         HistoryGoneError
-            The changes since that revision are no longer known.
+            The store no longer has the changes since that revision.
         """
-        query = f"?watch={revision}&waitMs={round(wait * MS)}"
+        query = f"?watch={revision}&waitMs={round(wait * MS_PER_S)}"
         page = await self._page(_path(kind) + query, wait)
         events = _list(page, "events")
         changes = tuple(
@@ -113,7 +117,7 @@
         return Items(_integer(page, "storeRevision"), changes)
 
     async def get(self, kind: str, name: str) -> Item | None:
-        """Return an object, None if there is none."""
+        """Return an object, or None if it does not exist."""
         path = _path(kind, name)
         response = await self._read(path)
         if response.status == NOT_FOUND:
@@ -123,23 +127,23 @@
             raise StoreUnavailableError(f"{path}: malformed object")
         return item
 
-    async def create(self, kind: str, name: str, value: Any) -> Written:
+    async def create(self, kind: str, name: str, value: Any) -> WriteResult:
         """Create an object."""
         body = {"metadata": {"name": name}, "spec": value, "status": None}
         return await self._write(b"POST", _path(kind), body)
 
     async def replace(
         self, kind: str, name: str, value: Any, revision: int | None = None
-    ) -> Written:
-        """Replace an object, if it is still at ``revision`` where one is given."""
+    ) -> WriteResult:
+        """Replace an object; with ``revision``, only if it is still at that revision."""
         metadata: dict[str, Any] = {"name": name}
         if revision is not None:
             metadata["revision"] = revision
         body = {"metadata": metadata, "spec": value, "status": None}
         return await self._write(b"PUT", _path(kind, name), body)
 
-    async def delete(self, kind: str, name: str, revision: int) -> Written:
-        """Delete an object if it is still at a revision."""
+    async def delete(self, kind: str, name: str, revision: int) -> WriteResult:
+        """Delete an object if it is still at ``revision``."""
         return await self._write(b"DELETE", f"{_path(kind, name)}?revision={revision}", None)
 
     async def _page(self, path: str, wait: float = 0.0) -> dict[str, Any]:
@@ -157,11 +161,11 @@
             return response
         if response.status == GONE:
             raise HistoryGoneError(path)
-        if response.status == TOO_MANY:
+        if response.status == TOO_MANY_REQUESTS:
             raise StoreThrottledError(response.retry_after)
         raise StoreUnavailableError(f"{path}: status {response.status}")
 
-    async def _write(self, method: bytes, path: str, body: dict[str, Any] | None) -> Written:
+    async def _write(self, method: bytes, path: str, body: dict[str, Any] | None) -> WriteResult:
         value = None if body is None else json.dumps(body).encode()
         headers = {b"Content-Type": b"application/json"} if body is not None else {}
         try:
@@ -170,13 +174,13 @@
             raise StoreUnavailableError(f"{path}: {error}") from None
         except NoAnswerError as error:
             raise StoreUnclearError(f"{path}: {error}") from None
-        return Written(response.status, _answered_item(response), response)
+        return WriteResult(response.status, _response_item(response), response)
 
 
-def write_error(name: str, written: Written) -> StoreError:
-    """Return the error for a write that was answered and not carried out, conflicts apart."""
+def write_error(name: str, written: WriteResult) -> StoreError:
+    """Return the error for a write that the store answered but rejected, other than a conflict."""
     status = written.status
-    if status == TOO_MANY:
+    if status == TOO_MANY_REQUESTS:
         return StoreThrottledError(written.response.retry_after)
     if status == UNAVAILABLE:
         return StoreUnavailableError(f"{name}: status {status}")
@@ -188,9 +192,9 @@
     return path if name is None else f"{path}/{quote(name, safe='')}"
 
 
-def _list_query(after: str, may_be_old: bool) -> str:
+def _list_query(after: str, allow_stale: bool) -> str:
     query = {"after": after} if after else {}
-    if may_be_old:
+    if allow_stale:
         query["allowStale"] = "1"
     return f"?{urlencode(query, quote_via=quote, safe='')}" if query else ""
 
@@ -199,14 +203,14 @@
     try:
         document = json.loads(response.body)
     except ValueError as error:
-        raise StoreUnavailableError(f"{path}: malformed answer: {error}") from None
+        raise StoreUnavailableError(f"{path}: malformed response: {error}") from None
     if not isinstance(document, dict):
-        raise StoreUnavailableError(f"{path}: malformed answer")
+        raise StoreUnavailableError(f"{path}: malformed response")
     return document
 
 
-def _answered_item(response: Response) -> Item | None:
-    """Return the object of an answer to a write; many answers have none."""
+def _response_item(response: Response) -> Item | None:
+    """Return the object in the response to a write, or None; many responses have none."""
     try:
         return _item(json.loads(response.body))
     except ValueError:
@@ -214,7 +218,7 @@
 
 
 def _item(document: Any, deleted: bool = False) -> Item | None:
-    """Return one object of a list or an event; None if its envelope can't be read."""
+    """Parse one object of a list or an event; return None if its envelope is malformed."""
     metadata = document.get("metadata") if isinstance(document, dict) else None
     if not isinstance(metadata, dict):
         return None
@@ -227,14 +231,14 @@
 def _list(page: dict[str, Any], field: str) -> list[Any]:
     items = page.get(field)
     if not isinstance(items, list):
-        raise StoreUnavailableError(f"no {field} in the answer")
+        raise StoreUnavailableError(f"the response has no {field}")
     return items
 
 
 def _integer(page: dict[str, Any], field: str) -> int:
     value = page.get(field)
     if not isinstance(value, int):
-        raise StoreUnavailableError(f"no {field} in the answer")
+        raise StoreUnavailableError(f"the response has no {field}")
     return value
 
 
@@ -243,4 +247,4 @@
         item = _item(each)
         if item is not None:
             return item.name
-    raise StoreUnavailableError("a page without a name to continue from")
+    raise StoreUnavailableError("a page has no valid object name to continue after")
--- a/briarspur/platform/objectstore.py
+++ b/briarspur/platform/objectstore.py
@@ -1,4 +1,4 @@
-"""The product's named values with versions, kept as objects of kinds of our own."""
+"""Versioned objects of briarspur, stored on the platform under kinds that it defines itself."""
 
 import asyncio
 import base64
@@ -21,27 +21,27 @@
     OK,
     Item,
     StoreCalls,
-    Written,
+    WriteResult,
     write_error,
 )
 
-__all__ = ["MAX_VALUE_BYTES", "PlatformObjectStore", "place"]
+__all__ = ["MAX_VALUE_BYTES", "PlatformObjectStore", "kind_and_name"]
 
 MAX_VALUE_BYTES = 786_432
-"""The platform bounds an object's size; a value takes a third more there, as base64 text."""
-OBJECT_KIND = "briarspur-object-"
-ONLY_NAME = "only"
-"""A name without a slash has a kind of its own with one object, so that who waits for a change of
-the policy is not woken by each renewal of a lease."""
-GROUP_KIND = "briarspur-group-"
-"""Other names have a kind for what stands before their first slash, so that a list of the few VMs
-does not read the many claims."""
-SLASH = "~"
-"""Stands for the further slashes of a name, since a name is one part of a path."""
+"""The platform limits the size of an object, and base64 encoding makes a value a third longer."""
+SINGLE_KIND_PREFIX = "briarspur-object-"
+SINGLE_NAME = "only"
+"""A name without a slash has a kind for this one object, so that a watch of the policy is not
+woken by each renewal of a lease."""
+GROUP_KIND_PREFIX = "briarspur-group-"
+"""Other names have one kind for each part before the first slash, so that listing the few VMs does
+not read the many claims."""
+SLASH_REPLACEMENT = "~"
+"""Replaces the remaining slashes of a name, since a stored name is a single path segment."""
 
 
 class PlatformObjectStore:
-    """Implements :class:`briarspur.coord.store.ObjectStore`; owns its connections."""
+    """Implementation of :class:`briarspur.coord.store.ObjectStore`; owns its connections."""
 
     def __init__(self, calls: StoreCalls) -> None:
         self._calls = calls
@@ -53,44 +53,47 @@
         await self.close()
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         await self._calls.close()
 
     async def get(self, name: str) -> StoredObject | None:
-        """Return the object, or None if there is none."""
-        item = await self._calls.get(*place(name))
+        """Return the object, or None if it does not exist."""
+        item = await self._calls.get(*kind_and_name(name))
         return None if item is None else _stored(name, item)
 
     async def get_newer(self, name: str, known: int) -> StoredObject | None:
-        """Return the object if it is not at version ``known``; None if it is, or if there is none.
+        """Return the object if it is not at version ``known``; None if it is, or does not exist.
 
-        Changes since a version are asked for, so that an unchanged value is not sent again.
+        It requests the changes since that version, so that an unchanged value is not sent again.
         """
-        kind, own = place(name)
+        kind, stored_name = kind_and_name(name)
         try:
             changes = await self._calls.changes(kind, known, 0.0)
         except HistoryGoneError:
             found = await self.get(name)
             return None if found is None or found.version == known else found
-        changed = [item for item in changes.items if item.name == own]
+        changed = [item for item in changes.items if item.name == stored_name]
         if not changed or changed[-1].deleted:
             return None
         return _stored(name, changed[-1])
 
     async def list(self, prefix: str) -> list[StoredObject]:
-        """Return the objects whose names go on after ``prefix``, ordered by name.
+        """Return the objects whose names start with ``prefix``, ordered by name.
 
         Raises
         ------
         StoreError
-            The prefix does not name a kind: it has no slash.
+            The prefix has no slash, so it does not identify a kind.
         """
         if "/" not in prefix:
-            raise StoreError(f"{prefix!r}: a list needs a prefix with a slash")
-        kind, own = place(prefix)
-        found = await self._calls.all(kind, own)
-        first = prefix.partition("/")[0]
-        stored = [_stored(f"{first}/{item.name.replace(SLASH, '/')}", item) for item in found.items]
+            raise StoreError(f"{prefix!r}: a prefix to list must contain a slash")
+        kind, stored_name = kind_and_name(prefix)
+        found = await self._calls.list_objects(kind, stored_name)
+        group = prefix.partition("/")[0]
+        stored = [
+            _stored(f"{group}/{item.name.replace(SLASH_REPLACEMENT, '/')}", item)
+            for item in found.items
+        ]
         return sorted(stored, key=lambda each: each.name)
 
     async def put(self, name: str, value: bytes, expected_version: int) -> int:
@@ -104,17 +107,17 @@
             The value is longer than ``MAX_VALUE_BYTES``.
         """
         if len(value) > MAX_VALUE_BYTES:
-            raise StoreError(f"{name}: {len(value)} bytes, at most {MAX_VALUE_BYTES} are held")
-        kind, own = place(name)
+            raise StoreError(f"{name}: {len(value)} bytes exceed the maximum of {MAX_VALUE_BYTES}")
+        kind, stored_name = kind_and_name(name)
         text = base64.b64encode(value).decode()
         if expected_version == ABSENT:
-            written = await self._calls.create(kind, own, text)
+            written = await self._calls.create(kind, stored_name, text)
         else:
-            written = await self._calls.replace(kind, own, text, expected_version)
+            written = await self._calls.replace(kind, stored_name, text, expected_version)
         if written.status not in (OK, CREATED):
-            raise await self._refused(name, written)
+            raise await self._write_failure(name, written)
         if written.item is None:
-            raise StoreUnclearError(f"{name}: written, but no version was answered")
+            raise StoreUnclearError(f"{name}: written, but the response has no version")
         return written.item.revision
 
     async def delete(self, name: str, expected_version: int) -> None:
@@ -125,30 +128,32 @@
         StoreConflictError
             The object is at another version; nothing was deleted.
         """
-        written = await self._calls.delete(*place(name), expected_version)
+        written = await self._calls.delete(*kind_and_name(name), expected_version)
         if written.status not in (OK, NO_CONTENT):
-            raise await self._refused(name, written)
+            raise await self._write_failure(name, written)
 
     async def watch(self, name: str, newer_than: int, wait: float) -> StoredObject | None:
-        """Wait at most ``wait`` seconds for a version above ``newer_than``; None if none came."""
+        """Wait at most ``wait`` seconds for a version above ``newer_than``; None on timeout."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + wait
-        kind, own = place(name)
+        deadline = loop.time() + wait
+        kind, stored_name = kind_and_name(name)
         since = newer_than
         while True:
-            left = max(0.0, until - loop.time())
+            remaining = max(0.0, deadline - loop.time())
             try:
-                changes = await self._calls.changes(kind, since, left)
+                changes = await self._calls.changes(kind, since, remaining)
             except HistoryGoneError:
-                changes = await self._calls.all(kind)
+                changes = await self._calls.list_objects(kind)
             since = changes.revision
-            changed = [item for item in changes.items if item.name == own and not item.deleted]
+            changed = [
+                item for item in changes.items if item.name == stored_name and not item.deleted
+            ]
             if changed and changed[-1].revision > newer_than:
                 return _stored(name, changed[-1])
-            if loop.time() >= until:
+            if loop.time() >= deadline:
                 return None
 
-    async def _refused(self, name: str, written: Written) -> StoreError:
+    async def _write_failure(self, name: str, written: WriteResult) -> StoreError:
         if written.status == NOT_FOUND:
             return StoreConflictError(name, ABSENT)
         if written.status != CONFLICT:
@@ -159,12 +164,12 @@
         return StoreConflictError(name, ABSENT if found is None else found.version)
 
 
-def place(name: str) -> tuple[str, str]:
-    """Return kind and name in the platform's store."""
-    first, slash, rest = name.partition("/")
+def kind_and_name(name: str) -> tuple[str, str]:
+    """Return the kind and name of an object in the platform's store."""
+    group, slash, rest = name.partition("/")
     if not slash:
-        return OBJECT_KIND + name, ONLY_NAME
-    return GROUP_KIND + first, rest.replace("/", SLASH)
+        return SINGLE_KIND_PREFIX + name, SINGLE_NAME
+    return GROUP_KIND_PREFIX + group, rest.replace("/", SLASH_REPLACEMENT)
 
 
 def _stored(name: str, item: Item) -> StoredObject:
--- a/briarspur/platform/store.py
+++ b/briarspur/platform/store.py
@@ -1,4 +1,4 @@
-"""The kinds of objects that the gateway follows and writes, in the platform's store."""
+"""Source of the objects that the gateway watches and writes, on the platform's store."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
     Kind.ENTRIES: "entries",
     Kind.WARMTH: "warmth",
 }
-"""Kinds in the store's paths; the last two are kinds of our own."""
+"""Names of kinds in the store's paths; briarspur itself defines the last two."""
 
 
 class PlatformStore:
@@ -35,29 +35,29 @@
         self._created: set[tuple[Kind, str]] = set()
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         await self._calls.close()
 
     async def list(self, kind: Kind, may_be_old: bool = False) -> Batch:
         """Return all objects of a kind."""
-        found = await self._calls.all(KIND_NAMES[kind], may_be_old=may_be_old)
+        found = await self._calls.list_objects(KIND_NAMES[kind], allow_stale=may_be_old)
         return Batch(found.revision, tuple(_change(item) for item in found.items), whole=True)
 
     async def watch(self, kind: Kind, revision: int, wait: float) -> Batch:
-        """Return what changed since a revision."""
+        """Return the changes since a revision; wait up to ``wait`` seconds for the first."""
         found = await self._calls.changes(KIND_NAMES[kind], revision, wait)
         return Batch(found.revision, tuple(_change(item) for item in found.items))
 
     async def write(self, kind: Kind, name: str, value: dict[str, Any]) -> None:
-        """Create an object, or replace it if it is there."""
-        known = (kind, name) in self._created
+        """Create an object, or replace it if it exists."""
+        written_before = (kind, name) in self._created
         first, second = (
             (self._calls.replace, self._calls.create)
-            if known
+            if written_before
             else (self._calls.create, self._calls.replace)
         )
         written = await first(KIND_NAMES[kind], name, value)
-        if written.status == (NOT_FOUND if known else CONFLICT):
+        if written.status == (NOT_FOUND if written_before else CONFLICT):
             written = await second(KIND_NAMES[kind], name, value)
         if written.status == CONFLICT:
             raise StoreConflictError(name, written.item.revision if written.item else 0)
@@ -66,7 +66,7 @@
         self._created.add((kind, name))
 
     async def delete(self, kind: Kind, name: str, revision: int) -> None:
-        """Delete an object if it is still at a revision."""
+        """Delete an object if it is still at ``revision``; a missing object is not an error."""
         written = await self._calls.delete(KIND_NAMES[kind], name, revision)
         if written.status == CONFLICT:
             raise StoreConflictError(name, written.item.revision if written.item else 0)
--- a/standins/objectapi.py
+++ b/standins/objectapi.py
@@ -13,7 +13,7 @@
 
 from briarspur.documents import Document, load_settings
 from briarspur.objects import VMS_PREFIX
-from briarspur.platform.objectstore import place
+from briarspur.platform.objectstore import kind_and_name
 from briarspur.processsettings import PlatformSettings
 from standins import serving
 from standins.objectstate import CallError, Objects
@@ -80,7 +80,7 @@
 
     def set_vms(self, rows: list[dict[str, Any]]) -> None:
         """Write the list of VMs, whole."""
-        kind, _ = place(VMS_PREFIX)
+        kind, _ = kind_and_name(VMS_PREFIX)
         by_name = {row["id"]: row for row in rows}
         for name in set(self.objects.by_kind[kind]) - set(by_name):
             self.objects.delete(kind, name, None)
@@ -108,7 +108,7 @@
             serving.send_json(request, {"switches": switches, "counts": dict(self.calls)})
             return
         if path == ["control", "history"]:
-            states = self.objects.history(*place(_query(request).get("name", "")))
+            states = self.objects.history(*kind_and_name(_query(request).get("name", "")))
             serving.send_json(request, {"values": states})
             return
         if path[0] != OBJECTS or len(path) < 2:
--- a/tests/platform/test_objectstore.py
+++ b/tests/platform/test_objectstore.py
@@ -1,4 +1,4 @@
-"""The product's values in the platform's store keep the contract that all stores keep."""
+"""Tests that the object store on the platform meets the contract of all object stores."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -25,7 +25,7 @@
 
 
 async def with_api(work: Work, timeout_s: float = 5.0) -> None:
-    """Run ``work`` with a client and the stand-in it talks to."""
+    """Run ``work`` with a client and the stand-in that it is connected to."""
     from standins.serving import listen
 
     api = ObjectApi()
@@ -40,17 +40,17 @@
 
 
 class PlatformStoreContractTest(store_contract.StoreContract):
-    """The client and the stand-in keep the contract of ``ObjectStore`` together."""
+    """The client and the stand-in together satisfy the contract of ``ObjectStore``."""
 
     def with_store(self, work: Callable[[ObjectStore], Awaitable[None]]) -> None:
         run(with_api(lambda store, _: work(store)))
 
 
 class FaultTest(LoopTestCase):
-    """Each fault of the store becomes the error that says what is known of the write."""
+    """Each fault of the store raises the error that says whether a write may have taken effect."""
 
-    def test_a_lost_answer_is_unclear_and_the_write_stands(self) -> None:
-        """An operator applies a policy and sees an error, yet the policy is in force."""
+    def test_a_lost_response_is_unclear_and_the_write_took_effect(self) -> None:
+        """An operator who applies a policy gets an error although the policy is in force."""
 
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
             api.control({"lose_answers": 1})
@@ -62,7 +62,7 @@
 
         self.run_on_loop(with_api(work, timeout_s=0.2))
 
-    def test_an_outage_is_without_effect(self) -> None:
+    def test_calls_during_an_outage_have_no_effect(self) -> None:
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
             api.control({"outage": "busy"})
             for call in (store.put("a", b"1", ABSENT), store.delete("a", 3), store.get("a")):
@@ -74,9 +74,9 @@
         self.run_on_loop(with_api(work))
 
     def test_a_write_that_times_out_is_unclear(self) -> None:
-        """A claim of a key times out, its request is refused, and the claim appears afterwards.
+        """A claim of a key times out, its request is refused, and the claim appears later.
 
-        The store is slow: it carries out the write after the writer has given up.
+        A slow store executes the write after the client has timed out.
         """
 
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
@@ -88,7 +88,7 @@
 
         self.run_on_loop(with_api(work, timeout_s=0.1))
 
-    def test_an_outage_cuts_watches(self) -> None:
+    def test_an_outage_interrupts_watches(self) -> None:
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
             version = await store.put("a", b"1", ABSENT)
             watching = asyncio.ensure_future(store.watch("a", version, 30.0))
@@ -99,7 +99,7 @@
 
         self.run_on_loop(with_api(work))
 
-    def test_a_store_that_is_gone_is_unavailable(self) -> None:
+    def test_a_store_that_refuses_connections_is_unavailable(self) -> None:
         async def work() -> None:
             settings = PlatformSettings(host="127.0.0.1", port=1, timeout_s=5.0)
             async with PlatformObjectStore(StoreCalls(PlatformClient(settings))) as store:
@@ -108,7 +108,7 @@
 
         self.run_on_loop(work())
 
-    def test_throttling_says_when_to_come_back(self) -> None:
+    def test_a_throttling_error_has_the_retry_delay(self) -> None:
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
             api.control({"writes_per_s": 1e-9, "reads_per_s": 1e-9})
             for call in (store.put("a", b"1", ABSENT), store.get("a")):
@@ -118,7 +118,7 @@
 
         self.run_on_loop(with_api(work))
 
-    def test_stale_reads_do_not_loosen_writes(self) -> None:
+    def test_stale_reads_do_not_weaken_the_version_check_of_writes(self) -> None:
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
             version = await store.put("a", b"1", ABSENT)
             api.control({"stale_s": 60.0})
@@ -137,7 +137,7 @@
         self.run_on_loop(with_api(work))
 
     def test_a_list_reads_only_the_pages_of_its_prefix(self) -> None:
-        """The sweep of old claims, part by part, would read all claims for each part."""
+        """Otherwise the sweep of old claims, part by part, would read all claims for each part."""
 
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
             for number in range(4 * PAGE):
@@ -149,10 +149,10 @@
 
         self.run_on_loop(with_api(work))
 
-    def test_a_watch_goes_on_though_the_history_is_gone(self) -> None:
-        """An entry follows the policy, and the store forgets what happened in an outage.
+    def test_a_watch_continues_after_the_history_is_gone(self) -> None:
+        """An entry watches the policy, and the store loses the changes made during an outage.
 
-        The entry would hear of no further policy.
+        Without a fallback the entry would receive no later policy.
         """
 
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
@@ -172,7 +172,7 @@
 
         self.run_on_loop(with_api(work))
 
-    def test_other_objects_of_the_kind_end_no_watch(self) -> None:
+    def test_changes_of_other_objects_of_the_kind_do_not_end_a_watch(self) -> None:
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
             version = await store.put("p/a", b"1", ABSENT)
             waiting = asyncio.ensure_future(store.watch("p/a", version, 0.2))
@@ -182,7 +182,7 @@
 
         self.run_on_loop(with_api(work))
 
-    def test_names_with_many_parts_come_back_as_given(self) -> None:
+    def test_names_with_several_slashes_are_restored(self) -> None:
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
             for name in ("p/a/b/c", "p/a/d", "p/x"):
                 await store.put(name, b"", ABSENT)
@@ -191,7 +191,7 @@
 
         self.run_on_loop(with_api(work))
 
-    def test_what_another_writer_left_is_told(self) -> None:
+    def test_a_malformed_value_of_another_writer_is_an_error(self) -> None:
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
             for spec in (7, "%%%", {"value": ""}):
                 body = {"metadata": {"name": "only"}, "spec": spec}
@@ -202,7 +202,7 @@
 
         self.run_on_loop(with_api(work))
 
-    def test_a_value_that_is_too_long_and_a_list_of_everything_are_refused(self) -> None:
+    def test_a_value_that_is_too_long_and_a_list_without_a_group_are_rejected(self) -> None:
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
             with self.assertRaises(StoreError):
                 await store.put("a", bytes(MAX_VALUE_BYTES + 1), ABSENT)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store's client against a stand-in that speaks the published protocol."""
+"""Tests of the client of the store against a stand-in that implements the published protocol."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -26,7 +26,7 @@
 Work = Callable[[PlatformStore, ObjectApi], Awaitable[None]]
 
 
-def beat(api: ObjectApi, name: str, **spec: Any) -> None:
+def register_or_renew(api: ObjectApi, name: str, **spec: Any) -> None:
     """Register a server, or renew its registration."""
     path = "/objects/servers"
     if name in api.objects.by_kind["servers"]:
@@ -36,9 +36,9 @@
 
 
 class PlatformStoreTest(LoopTestCase):
-    """Every answer of the protocol has its meaning."""
+    """Each response of the protocol is mapped to a result or an error."""
 
-    def play(self, work: Work, timeout: float = 0.3) -> None:
+    def with_api(self, work: Work, timeout: float = 0.3) -> None:
         async def run() -> None:
             api = ObjectApi()
             port = the_reactor().listenTCP(0, Site(api), interface=HOST)
@@ -55,35 +55,35 @@
     def test_a_list_has_all_pages(self) -> None:
         async def work(store: PlatformStore, api: ObjectApi) -> None:
             for number in range(2 * PAGE + 7):
-                beat(api, f"t-{number:03}", seq=number)
+                register_or_renew(api, f"t-{number:03}", seq=number)
             batch = await store.list(Kind.TARGETS)
             self.assertEqual(2 * PAGE + 7, len(batch.changes))
             self.assertTrue(batch.whole)
             self.assertEqual(api.objects.revision, batch.revision)
 
-        self.play(work)
+        self.with_api(work)
 
-    def test_a_list_that_may_be_old_is_asked_for_as_such(self) -> None:
-        """Guards against the full price for what is as good some seconds old."""
+    def test_a_stale_list_is_requested_only_if_allowed(self) -> None:
+        """Guards against paying for a fresh read where data of some seconds ago is sufficient."""
 
         async def work(store: PlatformStore, api: ObjectApi) -> None:
             for number in range(PAGE + 1):
-                beat(api, f"t-{number:03}", seq=number)
+                register_or_renew(api, f"t-{number:03}", seq=number)
             await store.list(Kind.TARGETS)
             self.assertEqual(0, api.calls["old_reads"])
             batch = await store.list(Kind.TARGETS, may_be_old=True)
             self.assertEqual(PAGE + 1, len(batch.changes))
             self.assertEqual(2, api.calls["old_reads"])
 
-        self.play(work)
+        self.with_api(work)
 
-    def test_a_watch_tells_of_changes_and_deletions(self) -> None:
+    def test_a_watch_returns_changes_and_deletions(self) -> None:
         async def work(store: PlatformStore, api: ObjectApi) -> None:
-            beat(api, "t-1", seq=1)
+            register_or_renew(api, "t-1", seq=1)
             revision = (await store.list(Kind.TARGETS)).revision
             waiting = asyncio.ensure_future(store.watch(Kind.TARGETS, revision, 5.0))
             await eventually(lambda: bool(api._waiting))
-            beat(api, "t-1", seq=2)
+            register_or_renew(api, "t-1", seq=2)
             batch = await waiting
             self.assertEqual([{"seq": 2}], [change.value for change in batch.changes])
             api.write(b"DELETE", "/objects/servers/t-1", {})
@@ -91,20 +91,20 @@
             self.assertEqual([("t-1", None)], [(c.name, c.value) for c in batch.changes])
             self.assertEqual((), (await store.watch(Kind.TARGETS, batch.revision, 0.0)).changes)
 
-        self.play(work)
+        self.with_api(work)
 
-    def test_a_forgotten_history_is_told(self) -> None:
+    def test_a_watch_from_a_forgotten_revision_is_an_error(self) -> None:
         async def work(store: PlatformStore, api: ObjectApi) -> None:
-            beat(api, "t-1", seq=1)
+            register_or_renew(api, "t-1", seq=1)
             waiting = asyncio.ensure_future(store.watch(Kind.TARGETS, api.objects.revision, 5.0))
             await eventually(lambda: bool(api._waiting))
-            beat(api, "t-2", seq=1)
+            register_or_renew(api, "t-2", seq=1)
             await waiting
             api.control({"forget": True})
             with self.assertRaises(HistoryGoneError):
                 await store.watch(Kind.TARGETS, 1, 0.0)
 
-        self.play(work)
+        self.with_api(work)
 
     def test_a_write_creates_or_replaces(self) -> None:
         async def work(store: PlatformStore, api: ObjectApi) -> None:
@@ -117,12 +117,12 @@
             await store.delete(Kind.ENTRIES, "e-1", batch.changes[0].revision)
             await store.delete(Kind.ENTRIES, "e-1", 7)
 
-        self.play(work)
+        self.with_api(work)
 
-    def test_an_object_that_was_written_before_is_replaced_by_one_call(self) -> None:
-        """A record that is written every few seconds costs two calls each time.
+    def test_an_object_that_was_written_before_is_replaced_with_one_call(self) -> None:
+        """Guards against two calls for each write of a record that is written every few seconds.
 
-        The first of them only learnt that the record was there.
+        The first call was a create that failed since the record existed.
         """
 
         async def work(store: PlatformStore, api: ObjectApi) -> None:
@@ -135,9 +135,9 @@
             batch = await store.list(Kind.WARMTH)
             self.assertEqual([{"at_ms": 9}], [change.value for change in batch.changes])
 
-        self.play(work)
+        self.with_api(work)
 
-    def test_outages_are_told_apart_from_unclear_writes(self) -> None:
+    def test_outages_are_distinguished_from_unclear_writes(self) -> None:
         async def work(store: PlatformStore, api: ObjectApi) -> None:
             for outage in ("busy", "reset", "silent"):
                 api.control({"outage": outage})
@@ -150,22 +150,22 @@
             with self.assertRaises(StoreThrottledError):
                 await store.list(Kind.TARGETS)
 
-        self.play(work)
+        self.with_api(work)
 
-    def test_a_lost_answer_leaves_the_write_unclear(self) -> None:
+    def test_a_lost_response_leaves_the_write_unclear(self) -> None:
         async def work(store: PlatformStore, api: ObjectApi) -> None:
             api.control({"lose_answers": 1})
             with self.assertRaises(StoreUnclearError):
                 await store.write(Kind.ENTRIES, "e-1", {"started": 1})
             self.assertEqual(1, len((await store.list(Kind.ENTRIES)).changes))
 
-        self.play(work)
+        self.with_api(work)
 
-    def test_an_envelope_that_cant_be_read_is_skipped(self) -> None:
+    def test_an_object_with_a_malformed_envelope_is_skipped(self) -> None:
         async def work(store: PlatformStore, api: ObjectApi) -> None:
-            beat(api, "good", seq=1)
+            register_or_renew(api, "good", seq=1)
             api.objects.by_kind["servers"]["bad"] = {"metadata": None}
             batch = await store.list(Kind.TARGETS)
             self.assertEqual(["good"], [change.name for change in batch.changes])
 
-        self.play(work)
+        self.with_api(work)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -9,7 +9,7 @@
 from briarspur.coord.memorystore import MemoryStore
 from briarspur.documents import parse
 from briarspur.entry import EntryDaemon
-from briarspur.platform.objectstore import place
+from briarspur.platform.objectstore import kind_and_name
 from briarspur.policy import PolicyDocument
 from briarspur.revision import Draft, encode_revision
 from briarspur.settings import EntrySettings
@@ -159,7 +159,7 @@
                 self.assertEqual(len(whole.backend.heads), 2)
                 await whole.daemon.stop()
                 left = whole.platform.objects.history(
-                    *place(f"outcomes/{whole.daemon.incarnation}")
+                    *kind_and_name(f"outcomes/{whole.daemon.incarnation}")
                 )
                 self.assertEqual(1, len(left))
 
