--- a/briarspur/platform/dialect.py
+++ b/briarspur/platform/dialect.py
@@ -1,4 +1,4 @@
-"""HTTP messages of callers and backend servers, decoded and encoded."""
+"""Decoding and encoding of the HTTP messages of callers and backend servers."""
 
 import math
 
@@ -19,7 +19,7 @@
 MISDIRECTED = 421
 SUCCESS = range(200, 300)
 SERVER_ERRORS = range(500, 600)
-SET_BY_US = frozenset(
+SET_BY_GATEWAY = frozenset(
     {
         names.DEADLINE_MS.lower(),
         names.EXPECTED_INSTANCE.lower(),
@@ -29,20 +29,20 @@
         b"expect",
     }
 )
-ONE_CONNECTION_ONLY = HOP_BY_HOP | {names.NOT_EXECUTED.lower()}
+NOT_FORWARDED = HOP_BY_HOP | {names.NOT_EXECUTED.lower()}
 
 
 class PlatformDialect:
-    """Implements :class:`briarspur.gateway.dialect.Dialect`."""
+    """Implementation of :class:`briarspur.gateway.dialect.Dialect`."""
 
     def arrival(self, uri: bytes, headers: Headers, size: int) -> Arrival:
-        """Return what a caller's request asks for."""
+        """Parse the head of a caller's request."""
         return Arrival(
             request_id=_text(last_value(headers, names.REQUEST_ID)),
             host=_text(last_value(headers, b"host")),
             path=uri.decode("latin-1"),
             key=last_value(headers, names.AFFINITY_KEY),
-            timeout=_patience(last_value(headers, names.DEADLINE_MS)),
+            timeout=_timeout(last_value(headers, names.DEADLINE_MS)),
             size=size,
             key_digest=_key_digest(headers),
         )
@@ -57,8 +57,8 @@
         remaining_ms: int,
         customer_name: str | None = None,
     ) -> bytes:
-        """Return a request as it goes to a backend server."""
-        dropped = HOP_BY_HOP | SET_BY_US | connection_tokens(headers)
+        """Return a request, encoded to be sent to a backend server."""
+        dropped = HOP_BY_HOP | SET_BY_GATEWAY | connection_tokens(headers)
         lines = [b"%b %b HTTP/1.1" % (method, uri)]
         for name, values in headers.getAllRawHeaders():
             if name.lower() not in dropped:
@@ -72,12 +72,12 @@
         return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
     def matches_request(self, headers: Headers, request_id: bytes) -> bool:
-        """Tell whether an answer is the one to a request; rejections may carry no id."""
+        """Return whether a response belongs to a request; rejections may have no request id."""
         echoed = last_value(headers, names.REQUEST_ID)
         return echoed is None or echoed == request_id
 
     def outcome(self, head: AnswerHead) -> Outcome:
-        """Return what the head of a backend server's answer says."""
+        """Classify a backend server's response by its head."""
         if head.headers.hasHeader(names.NOT_EXECUTED):
             return Outcome.REJECTED
         if head.status == MISDIRECTED:
@@ -89,12 +89,12 @@
         return Outcome.SERVER_ERROR if head.status in SERVER_ERRORS else Outcome.ANSWERED
 
     def notice(self, head: AnswerHead) -> ServerNotice | None:
-        """Return what an answer says of its server; None if it may be another server's."""
+        """Return the notices of a response; None if another server may have sent it."""
         return read_notice(head.headers, head.status, self.outcome(head))
 
     def answer_headers(self, headers: Headers) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an answer that its caller gets."""
-        dropped = ONE_CONNECTION_ONLY | connection_tokens(headers) | {b"content-length"}
+        """Return the headers of a response that are forwarded to the caller."""
+        dropped = NOT_FORWARDED | connection_tokens(headers) | {b"content-length"}
         return [
             (name, value)
             for name, values in headers.getAllRawHeaders()
@@ -103,7 +103,7 @@
         ]
 
     def status(self, code: Code) -> int:
-        """Return the HTTP status of a final answer of our own."""
+        """Return the HTTP status of a final response that the gateway generates itself."""
         return CODES[code].http_status
 
 
@@ -112,12 +112,12 @@
 
 
 def _key_digest(headers: Headers) -> bytes | None:
-    """Return the digest of the request's key; several different keys are nobody's."""
+    """Return the digest of the request's API key; None if it has several different keys."""
     keys = set(headers.getRawHeaders(names.API_KEY, []))
     return key_digest(keys.pop()) if len(keys) == 1 else None
 
 
-def _patience(value: bytes | None) -> float:
+def _timeout(value: bytes | None) -> float:
     if value is None:
         return math.inf
     try:
--- a/briarspur/platform/notices.py
+++ b/briarspur/platform/notices.py
@@ -1,4 +1,4 @@
-"""Reads what a backend server says of itself from the headers of its answers."""
+"""Parsing of the notices that backend servers send in their response headers."""
 
 import math
 
@@ -11,45 +11,46 @@
 
 __all__ = ["read_notice"]
 
-OTHERS = frozenset({Outcome.MISDIRECTED, Outcome.INVALID})
-"""Answers that are not known to come from the server that was asked."""
-MOST_PER_S = 1_000_000.0
-MOST_REST = 60.0
-"""Seconds; a longer rest is taken as this long, so that no server is shut out for good."""
+UNTRUSTED_OUTCOMES = frozenset({Outcome.MISDIRECTED, Outcome.INVALID})
+"""Outcomes of responses that another server than the requested one may have sent."""
+MAX_LIMIT_PER_S = 1_000_000.0
+MAX_BACKOFF_S = 60.0
+"""Longer backoffs are reduced to this, so that no server is excluded for good."""
 UNAVAILABLE = 503
 LEAVING = b"1"
 
 
 def read_notice(headers: Headers, status: int, outcome: Outcome) -> ServerNotice | None:
-    """Return what an answer says of its server; None if it may be another server's."""
-    if outcome in OTHERS:
+    """Return the notices of a response; None if another server may have sent it."""
+    if outcome in UNTRUSTED_OUTCOMES:
         return None
     return ServerNotice(
         limit_per_s=_limit(headers, outcome),
         leaving=LEAVING in _parts(headers, names.SERVER_LEAVING),
-        rest=_rest(headers) if status == UNAVAILABLE else 0.0,
+        rest=_backoff(headers) if status == UNAVAILABLE else 0.0,
     )
 
 
 def _limit(headers: Headers, outcome: Outcome) -> float | None:
-    """Return the limit that is named; several values or a malformed one count as the least read.
+    """Return the advertised limit: the smallest of the valid values.
 
-    A rejection that names none proves nothing: the server did no more than turn a request away.
+    None means that the earlier limit still applies: no value is valid, or a rejection has no limit.
+    Such a rejection only says that the server did not accept this request.
     """
     if not headers.hasHeader(names.SERVER_LIMIT):
         return None if outcome is Outcome.REJECTED else NO_LIMIT
-    read = _numbers(headers, names.SERVER_LIMIT)
-    return min(MOST_PER_S, *read) if read else None
+    values = _numbers(headers, names.SERVER_LIMIT)
+    return min(MAX_LIMIT_PER_S, *values) if values else None
 
 
-def _rest(headers: Headers) -> float:
-    """Return the longest rest that is asked for; a malformed one counts as none."""
-    return min(MOST_REST, max(_numbers(headers, RETRY_AFTER), default=0.0))
+def _backoff(headers: Headers) -> float:
+    """Return the longest backoff that is requested, in seconds; malformed values are ignored."""
+    return min(MAX_BACKOFF_S, max(_numbers(headers, RETRY_AFTER), default=0.0))
 
 
 def _numbers(headers: Headers, name: bytes) -> list[float]:
-    read = [_number(part) for part in _parts(headers, name)]
-    return [number for number in read if number is not None]
+    parsed = [_number(part) for part in _parts(headers, name)]
+    return [number for number in parsed if number is not None]
 
 
 def _parts(headers: Headers, name: bytes) -> list[bytes]:
@@ -58,7 +59,7 @@
 
 
 def _number(text: bytes) -> float | None:
-    """Return a finite number of at least 0; None if the text is none."""
+    """Parse a finite number of at least 0; return None if the text is not one."""
     try:
         number = float(text.decode("ascii"))
     except ValueError:
