--- a/briarspur/platform/configdocument.py
+++ b/briarspur/platform/configdocument.py
@@ -1,7 +1,7 @@
-"""The stored configuration, decoded part by part into the gateway's types.
+"""Conversion of the stored configuration, part by part, to the gateway's types.
 
-A part that can't be read does not take the others along: it is left out, or read in the most
-careful way, and named with the reason.
+A malformed part does not invalidate the others: it is skipped, or applied in its most restrictive
+interpretation, and reported with the reason.
 """
 
 from typing import Any
@@ -24,19 +24,19 @@
 __all__ = ["CONFIGURATION_NAME", "decode_configuration"]
 
 CONFIGURATION_NAME = "main"
-MS = 1_000.0
+MS_PER_S = 1_000.0
 KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.ONCE_ONLY,
     "download": RouteKind.DOWNLOAD,
     "upload": RouteKind.UPLOAD,
 }
-MOST_CAREFUL = RouteKind.ONCE_ONLY
-"""What a route of an unknown kind is taken for: its requests are never run twice."""
+FALLBACK_KIND = RouteKind.ONCE_ONLY
+"""Assumed for a route of an unknown kind, since such requests are never executed twice."""
 
 
 class _Spec(BaseModel):
-    """A part of the document; fields that we do not know are left alone."""
+    """Base of the models of the document's parts; unknown fields are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True, strict=True)
 
@@ -51,12 +51,12 @@
     pathPrefix: str = Field(pattern=r"^/(.*/)?$")  # noqa: N815
     kind: str
     timeoutMs: float = Field(gt=0.0, allow_inf_nan=False)  # noqa: N815
-    # The time within which an answer is worth its full value.
+    # The time within which a response has its full value.
     latencyGoalMs: float = Field(default=1_000.0, gt=0.0, allow_inf_nan=False)  # noqa: N815
     priority: int = 0
     service: str | None = None
     trafficSplit: list[_Part] = []  # noqa: N815
-    # How many servers one request may be sent to, not how many repeats.
+    # The maximum number of servers that a request is sent to, not the number of retries.
     attempts: int = Field(default=1, ge=1)
     sticky: bool = False
     allowedRegions: list[str] = []  # noqa: N815
@@ -89,7 +89,7 @@
 
 
 class _Resource(_Spec):
-    # Which kind of part this is, though its name suggests a record's kind.
+    # The kind of this part, although the field's name suggests the kind of an entry.
     entryKind: str  # noqa: N815
     metadata: _Metadata = _Metadata()
     spec: dict[str, Any] = {}
@@ -102,39 +102,39 @@
 
 ROUTES, SERVICES, LIMITS, CUSTOMERS = "routes", "services", "limits", "tenants"
 UNNAMED_PART = "part"
-"""What a part is called in faults if it does not say what it is."""
-MAY_BE_ROUTES = frozenset({ROUTES, UNNAMED_PART})
-MAY_BE_CUSTOMERS = frozenset({CUSTOMERS, UNNAMED_PART})
-HARMLESS_DEFAULTS = frozenset({"latencyGoalMs", "priority", "attempts", "sticky", "public"})
-"""Fields of a route whose default harms nobody: one server a request, no preference. A mistyped
-list of regions or services has no such default, so the route is skipped."""
+"""The kind reported for a part that does not state its kind."""
+POSSIBLE_ROUTES = frozenset({ROUTES, UNNAMED_PART})
+POSSIBLE_CUSTOMERS = frozenset({CUSTOMERS, UNNAMED_PART})
+FIELDS_WITH_SAFE_DEFAULT = frozenset({"latencyGoalMs", "priority", "attempts", "sticky", "public"})
+"""Fields of a route whose defaults are safe: one server per request, no preference. A malformed
+list of regions or services has no safe default, so the route is skipped."""
 
 
 def decode_configuration(value: Any) -> Result[ReadConfiguration, str]:
-    """Return what a stored document says, or why none of it can be used."""
+    """Parse a stored document, or return the reason why none of it can be used."""
     try:
         document = _Document.model_validate(value)
     except ValidationError as error:
         return Error(first_fault(error))
-    reader = _Reader()
+    parser = _Parser()
     for part in document.resourceList:
-        reader.take(part)
-    if reader.faults and not reader.routes:
-        return Error(f"no route can be used: {reader.faults[0].reason}")
-    customers = reader.customers()
+        parser.add_part(part)
+    if parser.faults and not parser.routes:
+        return Error(f"no usable route: {parser.faults[0].reason}")
+    customers = parser.customers()
     configuration = Configuration(
         document.version,
-        tuple(reader.routes),
-        reader.services_by_name,
-        reader.limits,
-        complete=not reader.left_out(MAY_BE_ROUTES),
+        tuple(parser.routes),
+        parser.services_by_name,
+        parser.limits,
+        complete=not parser.has_skipped(POSSIBLE_ROUTES),
         customers=customers,
     )
-    return Ok(ReadConfiguration(configuration, tuple(reader.faults)))
+    return Ok(ReadConfiguration(configuration, tuple(parser.faults)))
 
 
-class _Reader:
-    """Collects the parts of one document."""
+class _Parser:
+    """Collects the parsed parts and the faults of one document."""
 
     def __init__(self) -> None:
         self.routes: list[Route] = []
@@ -143,33 +143,35 @@
         self.digests_by_customer: dict[Customer, list[bytes]] = {}
         self.faults: list[PartFault] = []
 
-    def take(self, part: Any) -> None:
-        """Read one part, or note why it can't be read."""
+    def add_part(self, part: Any) -> None:
+        """Parse one part, or record why it is malformed."""
         try:
             resource = _Resource.model_validate(part)
         except ValidationError as error:
-            self._fault(UNNAMED_PART, _name_of(part), first_fault(error))
+            self._add_fault(UNNAMED_PART, _part_name(part), first_fault(error))
             return
         name = resource.metadata.name
         try:
             self._decode(resource.entryKind, name, resource.spec)
         except ValidationError as error:
-            self._fault(resource.entryKind, name, first_fault(error))
+            self._add_fault(resource.entryKind, name, first_fault(error))
         except ValueError as error:
-            self._fault(resource.entryKind, name, str(error))
+            self._add_fault(resource.entryKind, name, str(error))
 
-    def left_out(self, parts: frozenset[str]) -> bool:
-        """Tell whether a part of one of these kinds could not be read."""
+    def has_skipped(self, parts: frozenset[str]) -> bool:
+        """Return whether a part of one of these kinds was skipped."""
         return any(fault.skipped and fault.part in parts for fault in self.faults)
 
     def customers(self) -> Customers:
-        """Return the customers, and note those that claim one key."""
-        has_customers = self.digests_by_customer or self.left_out(frozenset({CUSTOMERS}))
+        """Return the customers, and record a fault for each that shares a key with another."""
+        has_customers = self.digests_by_customer or self.has_skipped(frozenset({CUSTOMERS}))
         if not has_customers:
             return Customers()
-        found = Customers(self.digests_by_customer, complete=not self.left_out(MAY_BE_CUSTOMERS))
+        found = Customers(
+            self.digests_by_customer, complete=not self.has_skipped(POSSIBLE_CUSTOMERS)
+        )
         for name in sorted(found.names_with_shared_keys):
-            self._fault(CUSTOMERS, name, "another customer has the same key", skipped=False)
+            self._add_fault(CUSTOMERS, name, "another customer has the same key", skipped=False)
         return found
 
     def _decode(self, kind: str, name: str, spec: dict[str, Any]) -> None:
@@ -180,16 +182,16 @@
         elif kind == LIMITS:
             self.limits = _limits(_LimitsSpec.model_validate(spec))
         elif kind == CUSTOMERS:
-            self._take_customer(name, _CustomerSpec.model_validate(spec))
+            self._add_customer(name, _CustomerSpec.model_validate(spec))
 
-    def _take_customer(self, name: str, spec: _CustomerSpec) -> None:
+    def _add_customer(self, name: str, spec: _CustomerSpec) -> None:
         if not name or not name.isprintable():
-            raise ValueError("no name that a header can carry")
+            raise ValueError("the name is empty or cannot be sent in a header")
         if any(customer.name == name for customer in self.digests_by_customer):
-            raise ValueError("the name is taken")
+            raise ValueError("another customer has the same name")
         keys = [key for key in spec.apiKeys if key]
         if len(keys) < len(spec.apiKeys):
-            self._fault(CUSTOMERS, name, "an empty key is left out", skipped=False)
+            self._add_fault(CUSTOMERS, name, "an empty key is ignored", skipped=False)
         customer = Customer(
             name, spec.priority, spec.ratePerS, spec.burst, frozenset(spec.allowedRegions)
         )
@@ -197,24 +199,24 @@
 
     def _route(self, name: str, spec: dict[str, Any]) -> Route:
         try:
-            read = _RouteSpec.model_validate(spec)
+            route = _RouteSpec.model_validate(spec)
         except ValidationError as error:
-            harmless = {str(fault["loc"][0]) for fault in error.errors(include_url=False)}
-            if not harmless <= HARMLESS_DEFAULTS:
+            malformed = {str(fault["loc"][0]) for fault in error.errors(include_url=False)}
+            if not malformed <= FIELDS_WITH_SAFE_DEFAULT:
                 raise
-            read = _RouteSpec.model_validate({k: v for k, v in spec.items() if k not in harmless})
-            self._fault(ROUTES, name, first_fault(error), skipped=False)
-        if read.kind not in KINDS:
-            reason = f"unknown kind {read.kind!r}, served as {MOST_CAREFUL.value}"
-            self._fault(ROUTES, name, reason, skipped=False)
-        return _route(name, read)
-
-    def _fault(self, part: str, name: str, reason: str, skipped: bool = True) -> None:
+            route = _RouteSpec.model_validate({k: v for k, v in spec.items() if k not in malformed})
+            self._add_fault(ROUTES, name, first_fault(error), skipped=False)
+        if route.kind not in KINDS:
+            reason = f"unknown kind {route.kind!r}, treated as {FALLBACK_KIND.value}"
+            self._add_fault(ROUTES, name, reason, skipped=False)
+        return _route(name, route)
+
+    def _add_fault(self, part: str, name: str, reason: str, skipped: bool = True) -> None:
         self.faults.append(PartFault(part, name, reason, skipped))
 
 
-def _name_of(part: Any) -> str:
-    """Return the name of a part that can't be read otherwise, empty if it has none."""
+def _part_name(part: Any) -> str:
+    """Return the name of a malformed part, empty if it has none."""
     metadata = part.get("metadata") if isinstance(part, dict) else None
     name = metadata.get("name") if isinstance(metadata, dict) else None
     return name if isinstance(name, str) else ""
@@ -224,16 +226,16 @@
     parts = tuple(SplitPart(p.service, p.weight) for p in spec.trafficSplit if p.weight > 0.0)
     if not parts:
         if not spec.service:
-            raise ValueError("no service")
+            raise ValueError("the route has no service")
         parts = (SplitPart(spec.service, 1.0),)
     return Route(
         name=name,
         host=spec.host,
         prefix=spec.pathPrefix,
-        kind=KINDS.get(spec.kind, MOST_CAREFUL),
+        kind=KINDS.get(spec.kind, FALLBACK_KIND),
         parts=parts,
-        timeout=spec.timeoutMs / MS,
-        goal=spec.latencyGoalMs / MS,
+        timeout=spec.timeoutMs / MS_PER_S,
+        goal=spec.latencyGoalMs / MS_PER_S,
         attempts=spec.attempts,
         priority=spec.priority,
         sticky=spec.sticky,
@@ -250,6 +252,6 @@
     return Limits(
         header_bytes=spec.maxHeaderBytes,
         body_bytes=spec.maxBodyBytes,
-        header_s=spec.headerTimeoutMs / MS,
-        idle_s=spec.idleTimeoutMs / MS,
+        header_s=spec.headerTimeoutMs / MS_PER_S,
+        idle_s=spec.idleTimeoutMs / MS_PER_S,
     )
--- a/briarspur/platform/documents.py
+++ b/briarspur/platform/documents.py
@@ -21,7 +21,7 @@
     "relevant_part",
 ]
 
-MS = 1_000.0
+MS_PER_S = 1_000.0
 
 
 class _Spec(BaseModel):
@@ -83,7 +83,7 @@
             zone=registration.zone,
             slots=registration.slots,
             draining=registration.state == "draining",
-            cold_s=registration.warmupLeftMs / MS,
+            cold_s=registration.warmupLeftMs / MS_PER_S,
         )
     )
 
--- a/tests/platform/test_configdocument.py
+++ b/tests/platform/test_configdocument.py
@@ -1,4 +1,4 @@
-"""Tests of the stored configuration: what can be read is in force, and the rest is named."""
+"""Tests of the stored configuration: valid parts are applied, malformed ones are reported."""
 
 import unittest
 from typing import Any
@@ -55,9 +55,9 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    """The whole document, or a reason."""
+    """A document is parsed as a whole, or rejected with a reason."""
 
-    def test_routes_services_and_limits(self) -> None:
+    def test_routes_services_and_limits_are_parsed(self) -> None:
         document = {
             "version": 7,
             "baseVersion": 5,
@@ -89,7 +89,7 @@
         self.assertEqual(11.0, read.services_by_name["info"].cold_per_s)
         self.assertEqual(15.0, read.limits.idle_s)
 
-    def test_a_route_that_leads_nowhere_is_a_fault(self) -> None:
+    def test_a_document_with_only_a_malformed_route_is_rejected(self) -> None:
         for spec in ({"service": None}, {"pathPrefix": "times"}):
             with self.subTest(spec):
                 document = {"version": 1, "resourceList": [route(**spec)]}
@@ -97,33 +97,33 @@
 
 
 class FaultyPartTest(unittest.TestCase):
-    """One part that can't be read takes no other along.
+    """A malformed part does not invalidate the others.
 
-    The operator adds a route of a kind that this version does not know. The whole document was
-    refused, no entry ever had a configuration, and every request of every route was refused.
+    An operator adds a route of a kind that this version does not know. If the whole document is
+    rejected, entries have no configuration and refuse every request of every route.
     """
 
     def read(self, *parts: Any) -> Any:
         return decode_configuration({"version": 3, "resourceList": [route(), *parts]}).ok
 
-    def test_uploads_are_known_and_never_repeated(self) -> None:
+    def test_uploads_are_a_known_kind_and_never_retried(self) -> None:
         read = self.read(route(kind="upload"))
         self.assertEqual((), read.faults)
         self.assertIs(RouteKind.UPLOAD, read.configuration.routes[1].kind)
         self.assertFalse(read.configuration.routes[1].repeatable)
 
-    def test_a_route_of_an_unknown_kind_is_served_without_repeats(self) -> None:
+    def test_a_route_of_an_unknown_kind_is_served_without_retries(self) -> None:
         read = self.read(route(kind="daily"))
         self.assertFalse(read.configuration.routes[1].repeatable)
         self.assertIn("daily", read.faults[0].reason)
         self.assertTrue(read.configuration.complete)
 
-    def test_a_harmless_field_takes_its_default(self) -> None:
+    def test_a_malformed_field_with_a_safe_default_is_set_to_it(self) -> None:
         read = self.read(route(attempts="many", priority=None))
         self.assertEqual(1, read.configuration.routes[1].attempts)
         self.assertFalse(read.faults[0].skipped)
 
-    def test_what_decides_where_requests_run_has_no_default(self) -> None:
+    def test_fields_that_decide_where_requests_run_have_no_default(self) -> None:
         for spec in (
             {"allowedRegions": "a"},
             {"trafficSplit": [{"service": "info"}]},
@@ -137,12 +137,12 @@
                 self.assertTrue(read.faults[0].skipped)
                 self.assertFalse(read.configuration.complete)
 
-    def test_a_skipped_service_hides_no_route(self) -> None:
+    def test_only_a_part_that_may_be_a_route_makes_the_routes_incomplete(self) -> None:
         service = {"entryKind": "services", "metadata": {"name": "info"}, "spec": {"warmupS": "x"}}
         self.assertTrue(self.read(service).configuration.complete)
         self.assertFalse(self.read({"metadata": {"name": "lost"}}).configuration.complete)
 
-    def test_services_limits_and_nameless_parts_are_skipped(self) -> None:
+    def test_malformed_services_limits_and_parts_without_a_kind_are_skipped(self) -> None:
         read = self.read(
             {"entryKind": "services", "metadata": {"name": "info"}, "spec": {"warmupS": "x"}},
             {"entryKind": "limits", "metadata": {}, "spec": {"maxBodyBytes": []}},
