--- a/tests/test_logsink.py
+++ b/tests/test_logsink.py
@@ -11,7 +11,7 @@
 
 
 class BoundedSinkTest(unittest.TestCase):
-    """A reader that stops delays nobody."""
+    """A reader that stops does not block the writer."""
 
     def setUp(self) -> None:
         self.reader, self.writer = os.pipe()
@@ -29,21 +29,21 @@
                 return out
             out += part
 
-    def test_a_reader_that_stops_holds_nobody_up(self) -> None:
-        """The collector behind standard output hangs while requests are served.
+    def test_a_reader_that_stops_does_not_block_writes(self) -> None:
+        """The log collector that reads standard output hangs while requests are served.
 
-        With a blocking stream the write of a log line waited for it, and with the one thread of the
-        process every request and every status check did.
+        With a blocking stream, the write of a log line would wait for it in the only thread of the
+        process, and so would every request and every status check.
         """
-        sink = BoundedSink(self.writer, most_held=10_000)
+        sink = BoundedSink(self.writer, max_buffered_bytes=10_000)
         began = time.monotonic()
         for _ in range(5_000):
             sink.write(LINE)
         self.assertLess(time.monotonic() - began, 5.0)
         self.assertGreater(sink.dropped, 4_000)
 
-    def test_lines_stay_whole_and_the_dropped_ones_are_counted(self) -> None:
-        sink = BoundedSink(self.writer, most_held=1_000)
+    def test_lines_are_written_whole_and_dropped_lines_are_counted(self) -> None:
+        sink = BoundedSink(self.writer, max_buffered_bytes=1_000)
         for _ in range(2_000):
             sink.write(LINE)
         out = self.read()
