--- a/briarspur/answers.py
+++ b/briarspur/answers.py
@@ -50,7 +50,7 @@
         The answer came from another entry, which must say by its headers what became of the
         request; an answer that lacks them proves nothing.
     """
-    retry_after = names.retry_after_of(head.headers)
+    retry_after = names.parse_retry_after(head.headers)
     if not from_entry:
         said = names.last_value(head.headers, names.NOT_RUN)
         if head.status == SERVICE_UNAVAILABLE and said is not None and said.lower() == b"true":
--- a/briarspur/codes.py
+++ b/briarspur/codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes: what became of a request, and what its caller may do now."""
+"""Numbered result codes: the outcome of a request, and whether its caller may retry."""
 
 from dataclasses import dataclass
 from enum import Enum, IntEnum
@@ -7,7 +7,7 @@
 
 
 class Ran(Enum):
-    """Whether a backend server ran the request."""
+    """Whether a backend server executed the request."""
 
     YES = "yes"
     NO = "no"
@@ -15,7 +15,7 @@
 
 
 class Repeat(Enum):
-    """What the caller may do."""
+    """Whether the caller may retry the request, and how."""
 
     NOT_NEEDED = "not needed"
     SAME_KEY = "yes, with the same key"
@@ -25,11 +25,12 @@
 
 
 class Code(IntEnum):
-    """Result codes; numbers are never given a new meaning.
+    """Result codes; numbers are never reused for another meaning.
 
-    The thousands give the class: 1 answered, 2 refused and not run, 3 a once-only request whose
-    outcome this entry can't vouch for, 4 an idempotent request that failed, 5 a fault of ours.
-    ``not run`` covers every copy of the key, so only an entry that knows the key may say it.
+    The first digit is the class: 1 answered, 2 refused and not run, 3 a once-only request whose
+    outcome is unknown to this entry, 4 a failed idempotent request, 5 an internal error.
+    ``not run`` covers every copy of a request with the same key, so only an entry that knows the
+    key may return such a code.
     """
 
     ANSWERED = 1000
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CodeInfo:
-    """The row of a code in the table of ``docs/RESULT-CODES.md``."""
+    """The row of a code in the table in ``docs/RESULT-CODES.md``."""
 
     http_status: int
     ran: Ran
--- a/briarspur/entry.py
+++ b/briarspur/entry.py
@@ -158,7 +158,7 @@
         if self._peering is not None:
             self._peering.leave()
 
-    def lookups_lapse_at(self) -> float:
+    def lookups_expire_at(self) -> float:
         """Return when the last look-up that may name this entry has lapsed."""
         spread = LEAVE_SPREAD_PROBES * self.settings.probe_interval_s
         policy = self.node.policy
--- a/briarspur/errors.py
+++ b/briarspur/errors.py
@@ -1,4 +1,4 @@
-"""Errors of briarspur's programs; those of the coordination parts are in ``coord.errors``."""
+"""Errors of briarspur's programs; those of the coordination package are in ``coord.errors``."""
 
 from dataclasses import dataclass
 
@@ -13,12 +13,12 @@
 
 
 class BriarspurError(Exception):
-    """Base of every error of the programs."""
+    """Base class of all errors of the programs."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault in a document: where it is, and what is allowed there."""
+    """One fault in a document: its path, and a message that says what is allowed there."""
 
     path: str
     message: str
@@ -33,7 +33,7 @@
     Parameters
     ----------
     source : str
-        File or object the document came from.
+        File or object that the document was read from.
     faults : list of Fault
         Every fault found, not only the first.
     """
@@ -49,20 +49,20 @@
 
 
 class PeerError(BriarspurError):
-    """Another entry could not be reached or did not answer."""
+    """Another entry could not be reached or did not respond."""
 
 
 class PeerRefusalError(PeerError):
-    """Another program answered with a refusal.
+    """Another program refused a request.
 
     Parameters
     ----------
     name : str
-        Who answered.
+        Name of the program that refused.
     status : int
         HTTP status.
     answer : dict
-        The refusal's JSON document; empty if there was none.
+        JSON document of the refusal; empty if it had none.
     """
 
     def __init__(self, name: str, status: int, answer: dict[str, object]) -> None:
--- a/briarspur/exits.py
+++ b/briarspur/exits.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What became of a command; numbers are never given a new meaning."""
+    """The result of a command; numbers are never reused for another meaning."""
 
     OK = 0
     FAILED = 1
@@ -21,12 +21,12 @@
 
 EXIT_MEANINGS: dict[ExitCode, str] = {
     ExitCode.OK: "done",
-    ExitCode.FAILED: "a fault of briarspur; standard error says which",
-    ExitCode.INVALID: "the arguments, the settings or the document are not valid; nothing changed",
+    ExitCode.FAILED: "an internal error of briarspur, described on standard error",
+    ExitCode.INVALID: "the arguments, the settings or the document are invalid; nothing changed",
     ExitCode.CONFLICT: "the policy is not at the expected version; nothing changed",
-    ExitCode.STORE_UNAVAILABLE: "the store cannot be reached or refuses calls; nothing changed",
-    ExitCode.UNSETTLED: "a write got no answer and may be in force: see `briarspur history`",
-    ExitCode.NOT_DONE: "the time given by `--wait` is over and it is not done yet; it goes on",
-    ExitCode.REFUSED: "it makes no sense with the policy in force; nothing changed",
-    ExitCode.NO_ENTRY: "no entry answered",
+    ExitCode.STORE_UNAVAILABLE: "the store is unreachable or rejects calls; nothing changed",
+    ExitCode.UNSETTLED: "a write got no response and may be in force: see `briarspur history`",
+    ExitCode.NOT_DONE: "the time limit of `--wait` expired before it was done; it continues",
+    ExitCode.REFUSED: "the command does not apply to the policy in force; nothing changed",
+    ExitCode.NO_ENTRY: "no entry responded",
 }
--- a/briarspur/headers.py
+++ b/briarspur/headers.py
@@ -1,4 +1,4 @@
-"""Header names of the HTTP interfaces, and which headers of a message are passed on."""
+"""Header names of the HTTP interfaces, and the selection of headers that are forwarded."""
 
 from collections.abc import Iterable, Iterator
 
@@ -21,8 +21,8 @@
     "answer_headers",
     "connection_tokens",
     "last_value",
+    "parse_retry_after",
     "request_headers",
-    "retry_after_of",
 ]
 
 IDEMPOTENCY_KEY = b"Idempotency-Key"
@@ -38,7 +38,7 @@
 BLOCK = b"Briarspur-Block"
 DISPATCH_ONLY = b"Briarspur-Dispatch-Only"
 
-OWN_PREFIX = b"briarspur-"
+BRIARSPUR_PREFIX = b"briarspur-"
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -52,8 +52,8 @@
         b"upgrade",
     }
 )
-NOT_FROM_CALLER = HOP_BY_HOP | {b"content-length", b"expect", TIMEOUT_MS.lower()}
-NOT_FROM_BACKEND = HOP_BY_HOP | {NOT_RUN.lower(), DRAINING.lower()}
+DROPPED_FROM_CALLER = HOP_BY_HOP | {b"content-length", b"expect", TIMEOUT_MS.lower()}
+DROPPED_FROM_BACKEND = HOP_BY_HOP | {NOT_RUN.lower(), DRAINING.lower()}
 
 Pairs = Iterable[tuple[bytes, bytes]]
 
@@ -64,8 +64,8 @@
     return values[-1] if values else None
 
 
-def retry_after_of(headers: Headers) -> float | None:
-    """Return a Retry-After in seconds; None if it is absent or not a plain number."""
+def parse_retry_after(headers: Headers) -> float | None:
+    """Parse a Retry-After in seconds; return None if it is absent or not a plain number."""
     value = last_value(headers, RETRY_AFTER)
     if value is None:
         return None
@@ -77,42 +77,42 @@
 
 
 def request_headers(received: Headers) -> Headers:
-    """Return the headers of a caller's request that its backend server gets.
+    """Return the headers of a caller's request that are forwarded to its backend server.
 
-    Headers of one connection and those in briarspur's own name are left out: the first belong to
-    the caller's connection alone, the second would let a caller pose as another entry.
+    Hop-by-hop headers are dropped since they apply to the caller's connection only. Headers with
+    briarspur's prefix are dropped since a caller could use them to impersonate another entry.
     """
-    passed = Headers()
-    dropped = NOT_FROM_CALLER | connection_tokens(received)
+    forwarded = Headers()
+    dropped = DROPPED_FROM_CALLER | connection_tokens(received)
     for name, values in received.getAllRawHeaders():
         lowered = name.lower()
-        if lowered not in dropped and not lowered.startswith(OWN_PREFIX):
-            passed.setRawHeaders(name, values)
-    return passed
+        if lowered not in dropped and not lowered.startswith(BRIARSPUR_PREFIX):
+            forwarded.setRawHeaders(name, values)
+    return forwarded
 
 
 def answer_headers(received: Headers, from_entry: bool) -> Iterator[tuple[bytes, bytes]]:
-    """Yield the headers of an answer that its caller gets.
+    """Yield the headers of a response that are forwarded to the caller.
 
     Parameters
     ----------
     from_entry : bool
-        The answer came through another entry, whose result code is kept. A backend server's
-        headers in briarspur's name are dropped.
+        The response came through another entry, whose result code is kept. Headers with
+        briarspur's prefix from a backend server are dropped.
     """
-    dropped = NOT_FROM_BACKEND | connection_tokens(received)
+    dropped = DROPPED_FROM_BACKEND | connection_tokens(received)
     for name, values in received.getAllRawHeaders():
         lowered = name.lower()
         if lowered in dropped or lowered == REQUEST_ID.lower():
             continue
-        if lowered.startswith(OWN_PREFIX) and not from_entry:
+        if lowered.startswith(BRIARSPUR_PREFIX) and not from_entry:
             continue
         for value in values:
             yield name, value
 
 
 def connection_tokens(headers: Headers) -> frozenset[bytes]:
-    """Return the lower-case names that the Connection header declares hop-by-hop."""
+    """Return the header names, in lower case, that the Connection header lists as hop-by-hop."""
     values = headers.getRawHeaders(b"connection")
     if not values:
         return frozenset()
--- a/briarspur/processsettings.py
+++ b/briarspur/processsettings.py
@@ -1,4 +1,4 @@
-"""Settings that every process has."""
+"""Settings that all processes share."""
 
 from typing import Annotated
 
@@ -8,18 +8,19 @@
 
 __all__ = ["Host", "LoggedSettings", "PlatformSettings", "Port"]
 
-Host = Annotated[str, Field(pattern=r"^[0-9a-fA-F.:]+$", description="an IP number")]
+Host = Annotated[str, Field(pattern=r"^[0-9a-fA-F.:]+$", description="an IP address")]
 Port = Annotated[int, Field(ge=0, le=65535)]
 
 
 class PlatformSettings(Document):
-    """Where the platform's object API and VM list are.
+    """Address of the platform's object API and VM list, and timeouts of its connections.
 
     Attributes
     ----------
     idle_s : float
-        Seconds for which an unused connection is kept. It must be closed before the platform closes
-        it: a write on a connection that the other side is just closing would be unclear.
+        Seconds after which an idle connection is closed. This must be shorter than the idle timeout
+        of the platform: the outcome of a write is unclear if the platform closes the connection
+        at the same time.
     """
 
     host: Host
@@ -29,6 +30,6 @@
 
 
 class LoggedSettings(Document):
-    """What the settings of every process have."""
+    """Base of the settings of every process."""
 
     log_level: str = Field(default="INFO", pattern=r"^(DEBUG|INFO|WARNING|ERROR)$")
--- a/briarspur/stopping.py
+++ b/briarspur/stopping.py
@@ -1,4 +1,4 @@
-"""The graceful stop of an entry: it cuts off no request, and no caller with a cached look-up."""
+"""Graceful stop of an entry, without loss of requests or of callers with cached look-ups."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,44 +8,44 @@
 
 __all__ = ["GracefulStop", "StoppingEntry"]
 
-POLL = 0.05
-"""Seconds between two looks at what is still open."""
+POLL_INTERVAL_S = 0.05
+"""Interval between checks for open requests."""
 
 
 class StoppingEntry(Protocol):
-    """What an entry can do to end in order."""
+    """The operations of an entry that a graceful stop needs."""
 
     def leave(self) -> None:
-        """Tell the other entries and callers' look-ups that this one is leaving.
+        """Announce to the other entries and in look-ups that this entry is leaving.
 
-        Its targets get other owners.
+        Its targets are reassigned to other owners.
         """
 
-    def lookups_lapse_at(self) -> float:
-        """Return when the last look-up that may name this entry has lapsed, in seconds."""
+    def lookups_expire_at(self) -> float:
+        """Return the time, in seconds, when the last look-up that may list this entry expires."""
 
     def open_requests(self) -> int:
-        """Return how many requests have not ended."""
+        """Return the number of requests that have not ended."""
 
     async def close_server(self) -> None:
-        """Take no new connections; open ones end after the answer they wait for."""
+        """Accept no new connections; close open ones after their pending response."""
 
     async def write_outcomes(self) -> None:
-        """Leave what became of this entry's keys in the store."""
+        """Write the outcomes of this entry's keys to the store."""
 
 
 class GracefulStop:
-    """Ends an entry step by step.
+    """Stops an entry in steps.
 
     Parameters
     ----------
     entry : StoppingEntry
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     grace : float
-        Seconds to serve on after the last look-up lapsed.
+        Seconds to continue serving after the last look-up has expired.
     sleep : callable
-        Waits for some seconds.
+        Waits for a number of seconds.
     """
 
     def __init__(
@@ -61,22 +61,22 @@
         self._sleep = sleep
 
     async def run(self) -> None:
-        """Leave, serve on until cached look-ups lapsed, finish what is open, leave the outcomes.
+        """Leave, serve until cached look-ups expire, finish open requests, write the outcomes.
 
-        The order is the guard. A caller whose look-up is still fresh may send a new request at any
-        time until it lapses; it is answered here as before. A request in flight, a download of an
-        hour included, is waited for without a limit. Outcomes are written last, when nothing can be
-        dispatched any more, so that a key missing from them was surely not run.
+        The order matters. Until its cached look-up expires, a caller may send new requests at any
+        time; they are served as before. Requests in flight are awaited without a limit, even a
+        download of an hour. Outcomes are written last, when nothing can be dispatched any more, so
+        that a key without an outcome was certainly not run.
         """
         self._entry.leave()
         logs.event("stop-leaving")
-        await self._serve_on()
+        await self._serve_until_lookups_expire()
         await self._entry.close_server()
         logs.event("stop-finishing", open_requests=self._entry.open_requests())
         while self._entry.open_requests():
-            await self._sleep(POLL)
+            await self._sleep(POLL_INTERVAL_S)
         await self._entry.write_outcomes()
 
-    async def _serve_on(self) -> None:
-        while (left := self._entry.lookups_lapse_at() + self._grace - self._clock()) > 0.0:
-            await self._sleep(left)
+    async def _serve_until_lookups_expire(self) -> None:
+        while (remaining := self._entry.lookups_expire_at() + self._grace - self._clock()) > 0.0:
+            await self._sleep(remaining)
