--- a/briarspur/daemon.py
+++ b/briarspur/daemon.py
@@ -1,4 +1,4 @@
-"""What every daemon's ``main`` does: arguments, settings, one loop, signals, graceful stop."""
+"""Common ``main`` of all daemons: arguments, settings, event loop, signals, graceful stop."""
 
 import argparse
 import asyncio
@@ -23,24 +23,24 @@
 
 
 class Daemon(Protocol):
-    """A program that runs until it is told to stop."""
+    """A program that runs until it receives a signal to stop."""
 
     async def start(self) -> None:
-        """Listen; return once requests can come."""
+        """Start to listen; return when requests can be accepted."""
 
     async def stop(self) -> None:
-        """End what is in flight, then return; called once."""
+        """Finish everything in flight, then return; called once."""
 
 
 @runtime_checkable
 class Reloadable(Protocol):
-    """A daemon that goes on when its settings file has changed.
+    """A daemon that keeps running on SIGHUP, which announces a change of its settings file.
 
-    Without a handler SIGHUP ends a process, and every request that it carries.
+    Without a handler, SIGHUP terminates the process and every request in it.
     """
 
     def reload(self) -> None:
-        """Take note that the settings file may have changed."""
+        """Handle a possible change of the settings file."""
 
 
 def run(
@@ -51,11 +51,11 @@
     Parameters
     ----------
     name : str
-        The program's name, for its help and its log.
+        The program's name, shown in its help and its log.
     model : type
-        The model of its settings.
+        The pydantic model of its settings.
     build : callable
-        Makes the daemon from its settings; called inside the running loop.
+        Creates the daemon from its settings; called inside the running loop.
     """
     parser = argparse.ArgumentParser(prog=name)
     parser.add_argument("--settings", required=True, help="JSON file")
@@ -85,20 +85,21 @@
 
 
 def _run_loop(name: str, build: Callable[[], Daemon]) -> int:
-    """Run the daemon on the one loop that Twisted and grpclib share."""
+    """Run the daemon on the event loop that Twisted and grpclib share."""
     loop = asyncio.new_event_loop()
     asyncio.set_event_loop(loop)
     from twisted.internet import asyncioreactor
 
     asyncioreactor.install(loop)
-    from twisted.internet import reactor as installed
+    from twisted.internet import reactor as installed_reactor
 
-    reactor = cast(asyncioreactor.AsyncioSelectorReactor, installed)
-    serving = loop.create_task(_serve(name, build))
-    serving.add_done_callback(lambda _: reactor.stop())
-    # The reactor's own handlers would stop it at once; ours let requests in flight end first.
+    reactor = cast(asyncioreactor.AsyncioSelectorReactor, installed_reactor)
+    serve_task = loop.create_task(_serve(name, build))
+    serve_task.add_done_callback(lambda _: reactor.stop())
+    # The reactor's own signal handlers would stop it at once; those that _serve installs let
+    # requests in flight finish first.
     reactor.run(installSignalHandlers=False)
-    error = serving.exception()
+    error = serve_task.exception()
     if error is None:
         return EXIT_OK
     logs.event("internal-error", logging.ERROR, daemon=name, error=repr(error))
@@ -108,7 +109,7 @@
 async def _serve(name: str, build: Callable[[], Daemon]) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    # A second SIGTERM while stopping changes nothing: the stop stays graceful.
+    # A second SIGTERM during the stop has no effect: the stop remains graceful.
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     daemon = build()
--- a/briarspur/metrics.py
+++ b/briarspur/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics over statsd; every name is in one table."""
+"""Metrics over statsd, with a table of all their names."""
 
 from types import TracebackType
 from typing import Protocol, Self
@@ -8,23 +8,23 @@
 __all__ = ["METRICS", "Metrics", "NullMetrics", "StatsdMetrics"]
 
 METRICS: dict[str, str] = {
-    "answers": "counter by code: final answers",
-    "answer_ms": "timing by service: from the request's arrival to the answer's last byte",
-    "in_flight": "gauge by region: requests dispatched and not ended",
-    "queued": "gauge: requests that wait for a slot",
-    "headroom": "gauge by service and region: requests per second that could be taken warm",
-    "plans_written": "counter: plans that came into the store",
-    "entries_reporting": "gauge: entries whose load the planner got in its last round",
-    "invariant_violations": "counter by name: properties that did not hold",
+    "answers": "counter by code: final responses",
+    "answer_ms": "timing by service: from the request's arrival to the last byte of the response",
+    "in_flight": "gauge by region: requests dispatched and not finished",
+    "queued": "gauge: requests waiting for a slot",
+    "headroom": "gauge by service and region: additional requests per second possible when warm",
+    "plans_written": "counter: plans written to the store",
+    "entries_reporting": "gauge: entries whose load the planner received in its last round",
+    "invariant_violations": "counter by name: violations of an invariant",
     "policy_version": "gauge: version of the policy in force",
-    "swept": "counter: claims and outcomes of keys deleted for their age",
-    "old_versions_ignored": "counter by object: reads older than what is in force",
+    "swept": "counter: expired claims and outcomes of keys that were deleted",
+    "old_versions_ignored": "counter by object: reads older than the version in force",
 }
 """Every metric with its type and meaning; ``docs/METRICS.md`` lists them."""
 
 
 class Metrics(Protocol):
-    """Where counts go."""
+    """A sink of counters, gauges and timings."""
 
     def count(self, name: str, label: str = "", amount: int = 1) -> None:
         """Add to a counter."""
@@ -37,7 +37,7 @@
 
 
 class NullMetrics:
-    """Metrics that go nowhere."""
+    """Metrics that are discarded."""
 
     def count(self, name: str, label: str = "", amount: int = 1) -> None:
         """Do nothing."""
@@ -50,7 +50,7 @@
 
 
 class StatsdMetrics:
-    """Metrics sent by UDP, one datagram a value; owns its socket."""
+    """Metrics sent over UDP, one datagram per value; owns its socket."""
 
     def __init__(self, settings: StatsdSettings) -> None:
         import statsd
@@ -70,16 +70,16 @@
 
     def count(self, name: str, label: str = "", amount: int = 1) -> None:
         """Add to a counter."""
-        self._client.incr(_full(name, label), amount)
+        self._client.incr(_labelled(name, label), amount)
 
     def gauge(self, name: str, value: float, label: str = "") -> None:
         """Set a gauge."""
-        self._client.gauge(_full(name, label), value)
+        self._client.gauge(_labelled(name, label), value)
 
     def timing(self, name: str, milliseconds: float, label: str = "") -> None:
         """Record a duration."""
-        self._client.timing(_full(name, label), milliseconds)
+        self._client.timing(_labelled(name, label), milliseconds)
 
 
-def _full(name: str, label: str) -> str:
+def _labelled(name: str, label: str) -> str:
     return f"{name}.{label}" if label else name
