--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""Tests that the platform's names and formats stay in their folder, and that it decides nothing."""
+"""Tests that only the adapter knows the platform's names, and that it makes no decisions."""
 
 import re
 import unittest
@@ -6,13 +6,13 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 PACKAGE = ROOT / "briarspur"
-FOLDER = PACKAGE / "platform"
-NAMES = re.compile(
+ADAPTER = PACKAGE / "platform"
+PLATFORM_NAMES = re.compile(
     r"warmupLeftMs|pathPrefix|trafficSplit|allowedRegions|resourceList|storeRevision|"
     r"deletionPending|X-Response-Signature|X-Not-Executed|X-Expected-Instance|X-Server-Load|"
     r"X-Deadline-Ms|X-Affinity-Key|latencyGoalMs|idleTimeoutMs|BRIARSPUR_BOOT|hasMore|waitMs"
 )
-DECIDING = re.compile(r"random|callLater|\btime\.\w|sleep|Steering\(|Chooser")
+DECISIONS = re.compile(r"random|callLater|\btime\.\w|sleep|Steering\(|Chooser")
 
 
 def sources(folder: Path) -> list[Path]:
@@ -20,28 +20,28 @@
 
 
 class BoundaryTest(unittest.TestCase):
-    """The adapter translates, and nothing else does."""
+    """The adapter translates and does nothing else, and no other code translates."""
 
-    def test_no_name_of_the_platform_stands_outside(self) -> None:
+    def test_no_other_package_uses_names_of_the_platform(self) -> None:
         found = [
             f"{path.relative_to(ROOT)}: {match.group()}"
             for path in sources(PACKAGE)
-            if FOLDER not in path.parents
-            for match in NAMES.finditer(path.read_text())
+            if ADAPTER not in path.parents
+            for match in PLATFORM_NAMES.finditer(path.read_text())
         ]
         self.assertEqual([], found)
 
-    def test_the_folder_decides_nothing(self) -> None:
-        """It keeps no clock, draws no chance, waits for nothing and chooses no server."""
+    def test_the_adapter_makes_no_decisions(self) -> None:
+        """It uses no clock, no random numbers and no timers, and chooses no server."""
         found = [
             f"{path.name}: {match.group()}"
-            for path in sources(FOLDER)
-            for match in DECIDING.finditer(path.read_text())
+            for path in sources(ADAPTER)
+            for match in DECISIONS.finditer(path.read_text())
         ]
         self.assertEqual([], found)
 
-    def test_the_folder_is_small(self) -> None:
+    def test_the_adapter_is_small(self) -> None:
         def lines(paths: list[Path]) -> int:
             return sum(len(path.read_text().splitlines()) for path in paths)
 
-        self.assertLess(10 * lines(sources(FOLDER)), lines(sources(PACKAGE)))
+        self.assertLess(10 * lines(sources(ADAPTER)), lines(sources(PACKAGE)))
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -1,10 +1,10 @@
-"""Tests of what a gateway loads before it can serve anybody."""
+"""Tests of the modules that a gateway imports before it can serve requests."""
 
 import subprocess
 import sys
 import unittest
 
-FOREIGN = (
+OTHER_PROGRAMS_MODULES = (
     "briarspur.answers",
     "briarspur.attempts",
     "briarspur.backend",
@@ -17,15 +17,15 @@
     "jinja2",
     "statsd",
 )
-"""Modules of the product's other programs."""
+"""Modules that only the other programs need."""
 LIST_MODULES = "import sys, briarspur.platform.gateway; print(*sorted(sys.modules))"
 
 
 class StartTest(unittest.TestCase):
-    """A fleet that lost its power starts at once; what each process imports delays all callers."""
+    """After a power failure all gateways start at once, and each import delays all callers."""
 
-    def test_a_gateway_imports_nothing_of_the_other_programs(self) -> None:
-        """Guards against starts that grow by modules which the gateway never uses."""
+    def test_a_gateway_imports_no_modules_of_the_other_programs(self) -> None:
+        """Guards against slower starts due to modules that the gateway never uses."""
         command = [sys.executable, "-c", LIST_MODULES]
         listed = subprocess.run(command, check=True, capture_output=True, text=True).stdout.split()
-        self.assertEqual([], [name for name in FOREIGN if name in listed])
+        self.assertEqual([], [name for name in OTHER_PROGRAMS_MODULES if name in listed])
