--- a/briarspur/answers.py
+++ b/briarspur/answers.py
@@ -50,7 +50,7 @@
         The answer came from another entry, whose headers must state the outcome of the request;
         without these headers the outcome is unknown.
     """
-    retry_after = names.retry_after_of(head.headers)
+    retry_after = names.parse_retry_after(head.headers)
     if not from_entry:
         value = names.last_value(head.headers, names.NOT_RUN)
         if head.status == SERVICE_UNAVAILABLE and value is not None and value.lower() == b"true":
