--- a/briarspur/gateway/app.py
+++ b/briarspur/gateway/app.py
@@ -301,7 +301,7 @@
         now = self._reactor.seconds()
         self.steering.loads.expire(now)
         self.applier.tick()
-        self.pool.sweep()
+        self.pool.close_expired()
         self._channels.close_idle()
         self.following.tick()
         self.gossip.members_changed(now)
--- a/briarspur/gateway/connection.py
+++ b/briarspur/gateway/connection.py
@@ -1,4 +1,4 @@
-"""One kept HTTP connection to a backend server, and the answers that come over it."""
+"""A persistent HTTP connection to a backend server and the parser of its responses."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,77 +21,81 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedResponse:
-    """The request whose answer is awaited.
+    """Identifies the response to a request.
 
     Attributes
     ----------
-    belongs : callable
-        Tells from the headers of an answer whether it is the one to this request.
+    method : bytes
+        Method of the request.
+    matches : callable
+        Returns whether response headers are those of the response to this request.
     """
 
     method: bytes
-    belongs: Callable[[Headers], bool]
+    matches: Callable[[Headers], bool]
 
 
 class ResponseSink(Protocol):
-    """Who takes an answer; nothing follows ``response_complete`` or ``response_failed``."""
+    """Receives a response; ``response_complete`` or ``response_failed`` is the last call."""
 
     def response_started(self, head: AnswerHead) -> None:
-        """Take the head."""
+        """Handle the status and headers."""
 
     def data_received(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a chunk of the body."""
 
     def response_complete(self) -> None:
-        """Note that the body is whole."""
+        """Handle the end of a complete response."""
 
     def response_failed(self, reason: str) -> None:
-        """Note that no whole answer will come."""
+        """Handle a response that was not received completely."""
 
 
 class ConnectionOwner(Protocol):
-    """Who keeps idle connections."""
+    """Manages idle connections."""
 
     def connection_idle(self, connection: "TargetConnection") -> None:
-        """Take a connection that can be used again."""
+        """Keep a connection that can be reused."""
 
     def connection_closed(self, connection: "TargetConnection") -> None:
-        """Drop a connection."""
+        """Forget a closed connection."""
 
 
 class TargetConnection(TwistedProtocol):
     """Sends one request at a time.
 
-    Bytes that belong to no request end the connection. An answer to an earlier request, which some
-    servers send twice and late, is read and dropped: it would otherwise be taken for the answer to
-    the request that waits now, and one caller would get what another one asked for.
+    Bytes received while no request is pending close the connection. A duplicate response to an
+    earlier request, which some servers send late, is read and discarded: otherwise it would be
+    taken for the response to the pending request and delivered to the wrong caller.
 
     Attributes
     ----------
     idle_since : float
-        When the last answer ended, on the owner's clock.
-    keeps_for : float or None
-        Seconds for which the server keeps an idle connection, if it said so.
+        When the last response ended, on the owner's clock.
+    keep_alive_s : float or None
+        Seconds for which the server keeps an idle connection open, if its response specified it.
+    used : int
+        Number of requests sent.
     """
 
     def __init__(self, owner: ConnectionOwner, address: tuple[str, int]) -> None:
         self.owner = owner
         self.address = address
         self.idle_since = 0.0
-        self.keeps_for: float | None = None
+        self.keep_alive_s: float | None = None
         self.used = 0
         self.closed = False
         self._sink: ResponseSink | None = None
         self._expected: ExpectedResponse | None = None
-        self._parser: _AnswerParser | None = None
+        self._parser: _ResponseParser | None = None
 
     @property
     def busy(self) -> bool:
-        """Whether an answer is awaited."""
+        """Whether a response is pending."""
         return self._sink is not None
 
     def send(self, request: bytes, expected: ExpectedResponse, sink: ResponseSink) -> None:
-        """Send a request; its answer goes to ``sink``."""
+        """Send a request and pass its response to ``sink``."""
         assert self._sink is None and not self.closed
         self._sink = sink
         self._expected = expected
@@ -100,10 +104,10 @@
         self._transport.write(request)
 
     def abort(self) -> None:
-        """Close at once; the sink hears no more.
+        """Close immediately, without further calls to the sink.
 
-        Most servers drop a request whose connection closes, so this also ends work for a caller
-        that has gone.
+        Most servers cancel a request whose connection closes, so this also stops the work for a
+        caller that has disconnected.
         """
         self._sink = None
         if not self.closed:
@@ -115,7 +119,7 @@
             self._transport.pauseProducing()
 
     def resume(self) -> None:
-        """Go on reading."""
+        """Resume reading."""
         if not self.closed:
             self._transport.resumeProducing()
 
@@ -124,72 +128,72 @@
         return self.transport
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Send small writes at once."""
+        """Disable Nagle's algorithm, so that small writes are sent immediately."""
         self._transport.setTcpNoDelay(True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read a part of an answer."""
+        """Parse a chunk of a response."""
         while data and not self.closed:
             parser = self._parser
             if parser is None or self._sink is None:
-                # Nothing was asked: bytes after a whole answer, or a second answer to it.
+                # No request is pending: bytes after a complete response, or a duplicate of it.
                 self._transport.abortConnection()
                 return
             try:
                 parser.dataReceived(data)
             except Exception as error:
-                # Whatever the parser objects to, the rest of this connection can't be trusted.
-                self._break(f"not an HTTP answer: {type(error).__name__}")
+                # After any parse error, nothing else on this connection can be trusted.
+                self._fail(f"invalid HTTP response: {type(error).__name__}")
                 return
             if not parser.done:
                 return
-            data = parser.rest
-            self._answer_read(parser, bool(data))
+            data = parser.remaining
+            self._response_parsed(parser, bool(data))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Settle the open answer: one without a length ends with its connection."""
+        """End the pending response; one without a length is complete when the server closes."""
         self.closed = True
         self.owner.connection_closed(self)
         sink, parser = self._sink, self._parser
         self._sink = None
         if sink is None:
             return
-        if parser is not None and parser.ends_with_connection and reason.check(ConnectionDone):
+        if parser is not None and parser.ends_on_close and reason.check(ConnectionDone):
             sink.response_complete()
         else:
             sink.response_failed(type(reason.value).__name__)
 
-    def _new_parser(self) -> "_AnswerParser":
+    def _new_parser(self) -> "_ResponseParser":
         assert self._expected is not None
-        parser = _AnswerParser(self._expected, self._head_read, self._data_read)
+        parser = _ResponseParser(self._expected, self._head_parsed, self._data_parsed)
         parser.makeConnection(_ParserTransport())
         return parser
 
-    def _head_read(self, head: AnswerHead, kept: float | None) -> None:
-        self.keeps_for = kept if kept is not None else self.keeps_for
+    def _head_parsed(self, head: AnswerHead, keep_alive_s: float | None) -> None:
+        self.keep_alive_s = keep_alive_s if keep_alive_s is not None else self.keep_alive_s
         if self._sink is not None:
             self._sink.response_started(head)
 
-    def _data_read(self, data: bytes) -> None:
+    def _data_parsed(self, data: bytes) -> None:
         if self._sink is not None:
             self._sink.data_received(data)
 
-    def _answer_read(self, parser: "_AnswerParser", more: bool) -> None:
-        if parser.foreign:
-            if parser.closes:
-                self._break("closed after a foreign answer")
+    def _response_parsed(self, parser: "_ResponseParser", has_extra_bytes: bool) -> None:
+        if parser.mismatched:
+            if parser.closes_connection:
+                self._fail("connection closed after a response to another request")
                 return
             self._parser = self._new_parser()
             return
         sink, self._sink, self._parser = self._sink, None, None
-        if parser.closes or more:
+        if parser.closes_connection or has_extra_bytes:
             self._transport.abortConnection()
         else:
             self.owner.connection_idle(self)
         if sink is not None:
             sink.response_complete()
 
-    def _break(self, reason: str) -> None:
+    def _fail(self, reason: str) -> None:
         sink, self._sink = self._sink, None
         self._transport.abortConnection()
         if sink is not None:
@@ -197,7 +201,7 @@
 
 
 class _ParserTransport:
-    """The parser's transport: it may not pause the connection, which reads on by itself."""
+    """Transport of the parser: it must not pause the connection, which controls its own reading."""
 
     disconnecting = False
 
@@ -214,8 +218,16 @@
         pass
 
 
-class _AnswerParser(HTTPClientParser):
-    """Twisted's parser for one answer."""
+class _ResponseParser(HTTPClientParser):
+    """Parses one response.
+
+    Attributes
+    ----------
+    mismatched : bool
+        The response belongs to another request.
+    remaining : bytes
+        Bytes received after the end of the response.
+    """
 
     def __init__(
         self,
@@ -223,48 +235,48 @@
         on_head: Callable[[AnswerHead, float | None], None],
         on_data: Callable[[bytes], None],
     ) -> None:
-        super().__init__(expected, self._finished_reading)
+        super().__init__(expected, self._on_finished)
         self._expected = expected
         self._on_head = on_head
         self._on_data = on_data
-        self.foreign = False
+        self.mismatched = False
         self.done = False
-        self.rest = b""
-        self._head_passed = False
+        self.remaining = b""
+        self._head_delivered = False
 
     @property
-    def closes(self) -> bool:
-        """Whether the server closes the connection after this answer."""
+    def closes_connection(self) -> bool:
+        """Whether the server closes the connection after this response."""
         values = self.connHeaders.getRawHeaders(b"connection") or []
         return self.response.version < (b"HTTP", 1, 1) or any(
             b"close" in value.lower() for value in values
         )
 
     @property
-    def ends_with_connection(self) -> bool:
-        """Whether the body has no length and is being read."""
+    def ends_on_close(self) -> bool:
+        """Whether the body being read ends when the connection closes."""
         return (
-            self._head_passed
+            self._head_delivered
             and not self.done
-            and not self.foreign
+            and not self.mismatched
             and self.response.length is UNKNOWN_LENGTH
             and not self.connHeaders.hasHeader(b"transfer-encoding")
         )
 
     def allHeadersReceived(self) -> None:  # noqa: N802
-        """Pass the head on before the body, unless the answer is another request's."""
+        """Deliver the headers before the body, unless the response is another request's."""
         status = self.response.code
         if status >= 200:
-            self.foreign = not self._expected.belongs(self.headers)
-            self.response.deliverBody(cast(Any, _BodyReader(self)))
-            self._head_passed = True
-            if not self.foreign:
-                self._on_head(self._head(status), self._kept_for())
+            self.mismatched = not self._expected.matches(self.headers)
+            self.response.deliverBody(cast(Any, _BodyProtocol(self)))
+            self._head_delivered = True
+            if not self.mismatched:
+                self._on_head(self._head(status), self._keep_alive_s())
         super().allHeadersReceived()
 
     def body_data(self, data: bytes) -> None:
-        """Pass a part of the body on."""
-        if not self.foreign:
+        """Deliver a chunk of the body."""
+        if not self.mismatched:
             self._on_data(data)
 
     def _head(self, status: int) -> AnswerHead:
@@ -278,7 +290,7 @@
         values = self.connHeaders.getRawHeaders(b"content-length")
         return int(values[0]) if values else None
 
-    def _kept_for(self) -> float | None:
+    def _keep_alive_s(self) -> float | None:
         for value in self.connHeaders.getRawHeaders(b"keep-alive") or []:
             for part in value.split(b","):
                 name, _, number = part.partition(b"=")
@@ -286,13 +298,13 @@
                     return float(number)
         return None
 
-    def _finished_reading(self, rest: bytes) -> None:
+    def _on_finished(self, remaining: bytes) -> None:
         self.done = True
-        self.rest = rest
+        self.remaining = remaining
 
 
-class _BodyReader(TwistedProtocol):
-    def __init__(self, parser: _AnswerParser) -> None:
+class _BodyProtocol(TwistedProtocol):
+    def __init__(self, parser: _ResponseParser) -> None:
         self._parser = parser
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
--- a/briarspur/gateway/metricspage.py
+++ b/briarspur/gateway/metricspage.py
@@ -23,7 +23,7 @@
         page.histogram("answer_seconds", histogram, route=route)
     page.histogram("attempt_seconds", gateway.log.attempt_times)
     page.value("open_requests", len(gateway.open))
-    page.value("target_connections_total", gateway.pool.made)
+    page.value("target_connections_total", gateway.pool.created)
     _targets(page, gateway)
     page.value("entries_live", len(gateway.entry_ids))
     page.value("configuration_version", gateway.steering.version)
--- a/briarspur/gateway/pool.py
+++ b/briarspur/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: made when needed, kept while they are likely to work."""
+"""Pool of connections to backend servers, which are reused while they are likely to be open."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable
@@ -12,21 +12,21 @@
 
 __all__ = ["PendingConnection", "ConnectionPool"]
 
-CONNECT_TIMEOUT = 0.5
-"""Seconds for a new connection. The way between the farthest regions and back takes 70 ms; a server
-that has not answered after seven times that is gone or cut off, and another one is tried."""
-KEPT_IDLE = 8.0
-"""Seconds an idle connection is kept if the server does not say for how long it keeps it."""
-IDLE_MARGIN = 1.0
-"""Seconds before the server's own limit at which an idle connection is no longer used, so that no
-request crosses the server's close."""
-FRESH_IDLE = 2.0
-"""Seconds of idleness up to which a connection is used for a request that can't be repeated: one
-that breaks under it leaves its outcome unknown, and a new connection costs little beside that."""
+CONNECT_TIMEOUT_S = 0.5
+"""The round trip between the farthest regions takes 70 ms; a server that has not accepted after
+seven times that is down or partitioned, and another one is tried."""
+DEFAULT_KEEP_ALIVE_S = 8.0
+"""Idle time of a connection whose server specifies no keep-alive timeout."""
+KEEP_ALIVE_MARGIN_S = 1.0
+"""An idle connection is not reused this long before the server's keep-alive timeout, so that no
+request is sent while the server closes the connection."""
+MAX_IDLE_UNREPEATABLE_S = 2.0
+"""Longest idle time of a connection for a request that can't be repeated: if the connection is lost
+its outcome is unknown, and a new connection costs little in comparison."""
 
 
 class PoolReactor(Protocol):
-    """The part of the reactor that is used here."""
+    """The methods of the reactor that the pool uses."""
 
     def seconds(self) -> float:
         """Return monotonic seconds."""
@@ -39,87 +39,104 @@
         timeout: float = 30,
         bindAddress: tuple[str, int] | None = None,  # noqa: N803
     ) -> Any:
-        """Make a connection."""
+        """Open a TCP connection."""
 
 
 class PendingConnection:
-    """A connection being made; it can be cancelled."""
+    """A connection attempt that can be cancelled.
+
+    Attributes
+    ----------
+    on_connected : callable
+        Called with the connection and the seconds it took to open it.
+    on_failed : callable
+        Called with the reason.
+    finished : bool
+        Connected, failed or cancelled; neither callback is called afterwards.
+    """
 
     def __init__(
         self,
-        ready: Callable[[TargetConnection, float], None],
-        failed: Callable[[str], None],
+        on_connected: Callable[[TargetConnection, float], None],
+        on_failed: Callable[[str], None],
     ) -> None:
-        self.ready = ready
-        self.failed = failed
-        self.cancelled = False
+        self.on_connected = on_connected
+        self.on_failed = on_failed
+        self.finished = False
         self.connector: Any = None
 
     def cancel(self) -> None:
-        """Stop making it."""
-        if not self.cancelled:
-            self.cancelled = True
+        """Cancel the attempt; neither callback is called afterwards."""
+        if not self.finished:
+            self.finished = True
             if self.connector is not None:
                 self.connector.disconnect()
 
 
 class ConnectionPool:
-    """Kept connections by address; owns them, so close it.
+    """Keeps idle connections by address and owns them until :meth:`close`.
 
     Parameters
     ----------
     source : str or None
-        IP number to connect from.
+        Local IP address to connect from.
+
+    Attributes
+    ----------
+    open_by_address : Counter
+        Connections that are open or being opened.
+    created : int
+        Connections attempted since the start.
     """
 
     def __init__(self, reactor: PoolReactor, source: str | None = None) -> None:
         self._reactor = reactor
-        self._bind = None if source is None else (source, 0)
+        self._bind_address = None if source is None else (source, 0)
         self._idle: dict[tuple[str, int], list[TargetConnection]] = defaultdict(list)
         self.open_by_address: Counter[tuple[str, int]] = Counter()
-        self.made = 0
+        self.created = 0
 
     def acquire_idle(self, address: tuple[str, int], repeatable: bool) -> TargetConnection | None:
-        """Return a kept connection that is likely to work; the latest used goes first."""
+        """Return the most recently used idle connection that is likely to be open, if any."""
         idle = self._idle.get(address)
         now = self._reactor.seconds()
         while idle:
             connection = idle[-1]
-            age = now - connection.idle_since
-            if age > _usable_for(connection):
+            idle_s = now - connection.idle_since
+            if idle_s > _max_idle_s(connection):
                 idle.pop()
                 connection.abort()
                 continue
-            if not repeatable and age > FRESH_IDLE:
+            if not repeatable and idle_s > MAX_IDLE_UNREPEATABLE_S:
                 return None
             return idle.pop()
         return None
 
-    def connect(self, address: tuple[str, int], connecting: PendingConnection) -> None:
-        """Make a connection; ``connecting`` hears of it, with the seconds it took."""
-        factory = _Factory(self, address, connecting, self._reactor.seconds())
-        self.made += 1
+    def connect(self, address: tuple[str, int], pending: PendingConnection) -> None:
+        """Open a connection and pass the result to the callbacks of ``pending``."""
+        factory = _ConnectionFactory(self, address, pending, self._reactor.seconds())
+        self.created += 1
         self.open_by_address[address] += 1
-        connecting.connector = self._reactor.connectTCP(
-            address[0], address[1], factory, CONNECT_TIMEOUT, self._bind
+        pending.connector = self._reactor.connectTCP(
+            address[0], address[1], factory, CONNECT_TIMEOUT_S, self._bind_address
         )
 
     def discard_idle(self, address: tuple[str, int]) -> None:
-        """Close the idle connections to an address whose others broke."""
+        """Close the idle connections to an address where another connection failed."""
         for connection in self._idle.pop(address, []):
             connection.abort()
 
-    def sweep(self) -> None:
-        """Close what has been idle for too long."""
+    def close_expired(self) -> None:
+        """Close the connections that have been idle for too long."""
         now = self._reactor.seconds()
         for address, idle in list(self._idle.items()):
-            old = [c for c in idle if now - c.idle_since > _usable_for(c)]
-            kept = [c for c in idle if now - c.idle_since <= _usable_for(c)]
+            expired = [c for c in idle if now - c.idle_since > _max_idle_s(c)]
+            kept = [c for c in idle if now - c.idle_since <= _max_idle_s(c)]
             if kept:
                 self._idle[address] = kept
             else:
                 del self._idle[address]
-            for connection in old:
+            for connection in expired:
                 connection.abort()
 
     def close(self) -> None:
@@ -132,70 +149,70 @@
         return self._reactor.seconds()
 
     def connection_idle(self, connection: TargetConnection) -> None:
-        """Keep a connection for the next request."""
+        """Keep a connection for reuse."""
         connection.idle_since = self._reactor.seconds()
         self._idle[connection.address].append(connection)
 
     def connection_closed(self, connection: TargetConnection) -> None:
-        """Drop a connection."""
-        self.closed(connection.address)
+        """Forget a closed connection."""
+        self.count_closed(connection.address)
         idle = self._idle.get(connection.address)
         if idle and connection in idle:
             idle.remove(connection)
 
-    def closed(self, address: tuple[str, int]) -> None:
-        """Count a connection less."""
+    def count_closed(self, address: tuple[str, int]) -> None:
+        """Decrement the count of open connections."""
         self.open_by_address[address] -= 1
         if self.open_by_address[address] <= 0:
             del self.open_by_address[address]
 
 
-def _usable_for(connection: TargetConnection) -> float:
-    if connection.keeps_for is None:
-        return KEPT_IDLE
-    return max(0.0, connection.keeps_for - IDLE_MARGIN)
+def _max_idle_s(connection: TargetConnection) -> float:
+    if connection.keep_alive_s is None:
+        return DEFAULT_KEEP_ALIVE_S
+    return max(0.0, connection.keep_alive_s - KEEP_ALIVE_MARGIN_S)
 
 
-class _Factory(ClientFactory):
+class _ConnectionFactory(ClientFactory):
     noisy = False
 
     def __init__(
         self,
         pool: ConnectionPool,
         address: tuple[str, int],
-        connecting: PendingConnection,
+        pending: PendingConnection,
         started: float,
     ) -> None:
         self._pool = pool
         self._address = address
-        self._connecting = connecting
+        self._pending = pending
         self._started = started
 
     def buildProtocol(self, addr: object) -> TargetConnection:  # noqa: N802
         connection = _NewConnection(self._pool, self._address)
-        connection.on_made = self._made
+        connection.on_connection_made = self._connected
         return connection
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: N802
-        self._pool.closed(self._address)
-        if not self._connecting.cancelled:
-            self._connecting.cancelled = True
-            self._connecting.failed(type(reason.value or ConnectError()).__name__)
+        self._pool.count_closed(self._address)
+        if not self._pending.finished:
+            self._pending.finished = True
+            self._pending.on_failed(type(reason.value or ConnectError()).__name__)
 
-    def _made(self, connection: TargetConnection) -> None:
-        if self._connecting.cancelled:
+    def _connected(self, connection: TargetConnection) -> None:
+        if self._pending.finished:
             connection.abort()
             return
-        self._connecting.cancelled = True
-        self._connecting.ready(connection, self._pool.seconds() - self._started)
+        self._pending.finished = True
+        self._pending.on_connected(connection, self._pool.seconds() - self._started)
 
 
 class _NewConnection(TargetConnection):
-    on_made: Callable[[TargetConnection], None] = staticmethod(lambda connection: None)
+    on_connection_made: Callable[[TargetConnection], None] = staticmethod(lambda connection: None)
 
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
-        self.on_made(self)
+        self.on_connection_made(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         super().connectionLost(reason)
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -65,7 +65,12 @@
     Mechanism("hedging", "steering.py", "HEDGE_SHARE = 0.5", "HEDGE_SHARE = 0.0"),
     Mechanism("breaker", "breaker.py", "MIN_PAUSE_S = 0.4", "MIN_PAUSE_S = 0.0"),
     Mechanism("load news", "loadview.py", "STALE_S = 1.5", "STALE_S = -1.0"),
-    Mechanism("kept connections", "pool.py", "KEPT_IDLE = 8.0", "KEPT_IDLE = 0.0"),
+    Mechanism(
+        "kept connections",
+        "pool.py",
+        "DEFAULT_KEEP_ALIVE_S = 8.0",
+        "DEFAULT_KEEP_ALIVE_S = 0.0",
+    ),
     Mechanism("held departures", "departures.py", "RETURN_TIME = 2.2", "RETURN_TIME = -9e9"),
     Mechanism(
         "warm record in the store",
