--- a/briarspur/gateway/app.py
+++ b/briarspur/gateway/app.py
@@ -20,7 +20,7 @@
 from briarspur.gateway.exchange import Exchange
 from briarspur.gateway.fleet import Fleet
 from briarspur.gateway.following import Following
-from briarspur.gateway.front import Front, FrontRequest
+from briarspur.gateway.frontend import Frontend, FrontendRequest
 from briarspur.gateway.gossip import Gossip
 from briarspur.gateway.loadview import News
 from briarspur.gateway.metricspage import metrics_text
@@ -92,7 +92,7 @@
         self.log = RequestLog(self._reactor.seconds, lambda: self.following.confirmed_age())
         self.pool = ConnectionPool(self._reactor, settings.host)
         connections = int((settings.descriptors - RESERVED_DESCRIPTORS) * CALLER_SHARE)
-        self.front = Front(self._reactor, self, settings.memory_mb * MB, connections)
+        self.frontend = Frontend(self._reactor, self, settings.memory_mb * MB, connections)
         self._services = Services(self.steering, self.pool, self._reactor, dialect, self.log)
         availability = StoreAvailability()
         self._read_times = read_times(settings.bounds.in_force_s)
@@ -162,7 +162,7 @@
     async def start(self) -> None:
         """Listen, and begin to follow the store."""
         pages = self._pages()
-        self._listen(self.settings.caller_address, self.front.factory)
+        self._listen(self.settings.caller_address, self.frontend.factory)
         for address in {self.settings.ready_address, self.settings.lookup_address}:
             if address and address != self.settings.caller_address:
                 self._listen(address, PageFactory(pages))
@@ -189,13 +189,13 @@
         end = began + self.settings.bounds.grace_s - LEAVE_MARGIN
         self.leaving = self.fleet.leaving = True
         self.gossip.advertise(began)
-        self.front.leave()
+        self.frontend.close_connections()
         logs.event("stop-leaving", open_requests=len(self.open))
         while self._reactor.seconds() < began + LEAVE_LISTENING:
             await asyncio.sleep(TICK)
         for port in self._ports[:1]:
             port.stopListening()
-        self.front.leave()
+        self.frontend.close_connections()
         logs.event("stop-finishing", open_requests=len(self.open))
         while self.open and self._reactor.seconds() < end:
             await asyncio.sleep(0.02)
@@ -213,7 +213,7 @@
 
     # Requests
 
-    def take(self, request: IncomingRequest, caller: FrontRequest) -> Exchange | None:
+    def handle(self, request: IncomingRequest, caller: FrontendRequest) -> Exchange | None:
         """Carry a request; None if it was answered at once."""
         now = self._reactor.seconds()
         arrival = self._dialect.arrival(request.uri, request.headers, len(request.body))
@@ -248,7 +248,7 @@
     # What is in force
 
     def _configured(self, configuration: Configuration) -> None:
-        self.front.limits_changed(configuration.limits)
+        self.frontend.apply_limits(configuration.limits)
 
     def _changed(self, kind: Kind, changes: Sequence[StoredChange], way: Way) -> None:
         self.applier.changed(kind, changes, way)
--- a/briarspur/gateway/front.py
+++ b/briarspur/gateway/frontend.py
@@ -1,4 +1,4 @@
-"""The HTTP server for callers' requests."""
+"""HTTP server that receives the requests of callers."""
 
 import json
 from collections.abc import Iterable
@@ -18,84 +18,88 @@
 from briarspur.limitsettings import LimitSettings
 from briarspur.refusal import Refusal
 
-__all__ = ["Front", "RequestTaker"]
+__all__ = ["Frontend", "RequestHandler"]
 
-NO_BODY = frozenset({204, 304})
-LEAST_HEADER_BYTES = 1_024
-MOST_BODY_BYTES = 67_108_864
-IDLE_MARGIN = 2.0
-"""Seconds beyond the configured idle time before we close a connection, so that a request sent just
-within that time does not meet the close."""
-BODY_TIME = 20.0
-"""Seconds for a request's body beside the time for its headers: 10 MB from a caller at 5 Mbit/s."""
-HELD_SHARE = 0.3
-"""Share of the process's memory that request bodies may take."""
+NO_BODY_STATUSES = frozenset({204, 304})
+MIN_HEADER_BYTES = 1_024
+MAX_BODY_BYTES = 67_108_864
+IDLE_MARGIN_S = 2.0
+"""Added to the configured idle timeout before a connection is closed, so that a request sent just
+within the timeout is not lost."""
+BODY_TIMEOUT_S = 20.0
+"""Time to receive a body in addition to the headers: enough for 10 MB at 5 Mbit/s."""
+MAX_BODY_MEMORY_SHARE = 0.3
+"""Largest share of the process's memory used for request bodies."""
 
 
-class RequestTaker(Protocol):
-    """Who carries requests."""
+class RequestHandler(Protocol):
+    """Handles complete requests."""
 
-    def take(self, request: IncomingRequest, caller: "FrontRequest") -> Exchange | None:
-        """Carry a request; None if it was answered at once."""
+    def handle(self, request: IncomingRequest, caller: "FrontendRequest") -> Exchange | None:
+        """Start the exchange of a request and return it, or None if already answered."""
 
     def refused_unread(self, refusal: Refusal) -> None:
-        """Count and log a request that was refused before it came whole."""
+        """Count and log a request that was refused before it was received completely."""
 
 
-class Front:
-    """Makes the connections of callers and bounds what they may cost.
+class Frontend:
+    """Accepts the connections of callers and limits their memory and number.
 
     Parameters
     ----------
-    memory : float
-        Bytes that the process may use.
-    connections : int
-        Callers' connections that may be open.
+    memory_bytes : float
+        Memory available to the process.
+    max_connections : int
+        Maximum number of open connections of callers.
     """
 
     def __init__(
-        self, clock: ChannelClock, taker: RequestTaker, memory: float, connections: int
+        self,
+        clock: ChannelClock,
+        handler: RequestHandler,
+        memory_bytes: float,
+        max_connections: int,
     ) -> None:
-        self._taker = taker
-        self._connections = connections
+        self._handler = handler
+        self._max_connections = max_connections
         self.factory = ChannelFactory(
-            clock, self._limits(Limits()), self._make, lambda: "", taker.refused_unread
+            clock, self._limits(Limits()), self._make_request, lambda: "", handler.refused_unread
         )
-        self.factory.most_held = int(memory * HELD_SHARE)
+        self.factory.most_held = int(memory_bytes * MAX_BODY_MEMORY_SHARE)
 
-    def limits_changed(self, limits: Limits) -> None:
-        """Take the limits of a configuration, for connections made from now on."""
+    def apply_limits(self, limits: Limits) -> None:
+        """Apply the limits of a configuration to connections made from now on."""
         self.factory.limits = self._limits(limits)
-        self.factory.idle_s = limits.idle_s + IDLE_MARGIN
+        self.factory.idle_s = limits.idle_s + IDLE_MARGIN_S
 
-    def leave(self) -> None:
-        """Let each connection end after the answer it waits for, and close the idle ones."""
+    def close_connections(self) -> None:
+        """Close idle connections now and the others after their pending response."""
         self.factory.close_idle()
 
     def _limits(self, limits: Limits) -> LimitSettings:
         return LimitSettings(
-            header_bytes=max(LEAST_HEADER_BYTES, limits.header_bytes),
-            body_bytes=min(MOST_BODY_BYTES, max(LEAST_HEADER_BYTES, limits.body_bytes)),
-            receive_s=max(0.1, limits.header_s) + BODY_TIME,
-            callers=self._connections,
+            header_bytes=max(MIN_HEADER_BYTES, limits.header_bytes),
+            body_bytes=min(MAX_BODY_BYTES, max(MIN_HEADER_BYTES, limits.body_bytes)),
+            receive_s=max(0.1, limits.header_s) + BODY_TIMEOUT_S,
+            callers=self._max_connections,
         )
 
-    def _make(self, channel: HTTPChannel, queued: object) -> "FrontRequest":
-        return FrontRequest(channel, self._taker)
+    def _make_request(self, channel: HTTPChannel, queued: object) -> "FrontendRequest":
+        return FrontendRequest(channel, self._handler)
 
 
-class FrontRequest(HeldRequest):
+class FrontendRequest(HeldRequest):
     """One request of a caller; implements :class:`briarspur.gateway.exchange.Caller`."""
 
-    def __init__(self, channel: HTTPChannel, taker: RequestTaker) -> None:
+    def __init__(self, channel: HTTPChannel, handler: RequestHandler) -> None:
         super().__init__(channel)
-        self._taker = taker
+        self._handler = handler
         self._exchange: Exchange | None = None
 
     def process(self) -> None:
-        """Hand the whole request over."""
+        """Pass the complete request to the handler."""
         request = IncomingRequest(self.method, self.uri, self.requestHeaders, self.take_body())
-        self._exchange = self._taker.take(request, self)
+        self._exchange = self._handler.handle(request, self)
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
         """Notify the exchange that the caller has disconnected."""
@@ -105,25 +109,29 @@
             exchange.caller_disconnected()
 
     def begin(self, head: AnswerHead, headers: Iterable[tuple[bytes, bytes]]) -> None:
-        """Send the head of an answer."""
+        """Send the status and headers of a response."""
         self.setResponseCode(head.status)
         for name, value in headers:
             self.responseHeaders.addRawHeader(name, value)
-        if head.length is not None and self.method != b"HEAD" and head.status not in NO_BODY:
+        if (
+            head.length is not None
+            and self.method != b"HEAD"
+            and head.status not in NO_BODY_STATUSES
+        ):
             self.setHeader(b"content-length", b"%d" % head.length)
-        self._say_close()
+        self._announce_close()
 
     def register_flow(self, flow: Flow) -> None:
-        """Slow the flow of the body while the caller does not read."""
+        """Pause the flow of the body while the caller does not read."""
         self.registerProducer(FlowProducer(flow), True)
 
     def write(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
         if not self._disconnected and not self.finished:
             super().write(data)
 
     def end(self) -> None:
-        """End the answer."""
+        """Finish the response."""
         self._exchange = None
         if self._disconnected or self.finished:
             return
@@ -132,7 +140,7 @@
         self.finish()
 
     def refuse(self, refusal: Refusal | Refused) -> None:
-        """Send a final answer of our own."""
+        """Send a final response generated by this process."""
         if self._disconnected or self.finished:
             return
         info = CODES[refusal.code]
@@ -143,20 +151,20 @@
         self.setHeader(b"content-length", b"%d" % len(body))
         if refusal.retry_after is not None:
             self.setHeader(b"retry-after", b"%.3f" % refusal.retry_after)
-        self._say_close()
+        self._announce_close()
         self.write(body)
         self.end()
 
     def abort(self) -> None:
-        """Cut the connection with a reset."""
+        """Reset the connection."""
         self._exchange = None
         if self.producer is not None:
             self.unregisterProducer()
         if not self._disconnected:
             cast(CallerChannel, self.channel).abort()
 
-    def _say_close(self) -> None:
-        """Tell the caller that the connection ends if this process is leaving."""
+    def _announce_close(self) -> None:
+        """Add ``Connection: close`` to the response if this process is leaving."""
         channel = cast(CallerChannel, self.channel)
         if channel.factory.closing:
             channel.persistent = 0
--- /dev/null
+++ b/tests/gateway/test_frontend.py
@@ -0,0 +1,108 @@
+"""Tests of the memory limit of a gateway process during a burst of large uploads."""
+
+import unittest
+
+from twisted.internet.address import IPv4Address
+from twisted.internet.task import Clock
+
+from briarspur.gateway.backendrequest import IncomingRequest
+from briarspur.gateway.configuration import Limits
+from briarspur.gateway.frontend import MAX_BODY_MEMORY_SHARE, Frontend, FrontendRequest
+from briarspur.refusal import Refusal
+
+MEMORY_BYTES = 20_000_000.0
+BODY_BYTES = 360_000
+ADDRESS = IPv4Address("TCP", "127.0.0.1", 80)
+
+
+class RecordingHandler:
+    """Accepts requests and never responds, as if all servers were slow."""
+
+    def __init__(self) -> None:
+        self.handled: list[IncomingRequest] = []
+        self.refused: list[Refusal] = []
+
+    def handle(self, request: IncomingRequest, caller: FrontendRequest) -> None:
+        self.handled.append(request)
+
+    def refused_unread(self, refusal: Refusal) -> None:
+        self.refused.append(refusal)
+
+
+class Transport:
+    """Records what is written to the caller."""
+
+    def __init__(self) -> None:
+        self.written = b""
+        self.disconnecting = False
+
+    def write(self, data: bytes) -> None:
+        self.written += data
+
+    def getPeer(self) -> IPv4Address:  # noqa: N802
+        return ADDRESS
+
+    getHost = getPeer  # noqa: N815
+
+    def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
+        pass
+
+    def registerProducer(self, producer: object, streaming: bool) -> None:  # noqa: N802
+        pass
+
+    def loseConnection(self) -> None:  # noqa: N802
+        pass
+
+    loseWriteConnection = abortConnection = loseConnection  # noqa: N815
+
+
+class UploadBurstTest(unittest.TestCase):
+    """Guards against a process that is killed for its memory along with all its requests.
+
+    All growers send their delivery notes of 360 kB at the same time while the servers are slow, and
+    a process that buffered them all would exceed its memory.
+    """
+
+    def setUp(self) -> None:
+        self.handler = RecordingHandler()
+        self.frontend = Frontend(Clock(), self.handler, MEMORY_BYTES, 1_000)
+        self.frontend.apply_limits(Limits(body_bytes=1_000_000))
+
+    def upload(self, sent_share: float = 1.0) -> Transport:
+        channel = self.frontend.factory.buildProtocol(ADDRESS)
+        transport = Transport()
+        channel.makeConnection(transport)
+        head = (
+            b"POST /notes/x HTTP/1.1\r\nHost: quay.example\r\nContent-Length: %d\r\n\r\n"
+            % BODY_BYTES
+        )
+        channel.dataReceived(head)
+        for _ in range(int(sent_share * 10)):
+            channel.dataReceived(b"x" * (BODY_BYTES // 10))
+        return transport
+
+    def test_buffered_bodies_do_not_exceed_their_share_of_memory(self) -> None:
+        for _ in range(50):
+            self.upload()
+        held = self.frontend.factory.held_bytes
+        self.assertLessEqual(held, MAX_BODY_MEMORY_SHARE * MEMORY_BYTES)
+        self.assertEqual(
+            int(MAX_BODY_MEMORY_SHARE * MEMORY_BYTES) // BODY_BYTES, len(self.handler.handled)
+        )
+        self.assertEqual(50, len(self.handler.handled) + len(self.handler.refused))
+
+    def test_a_refused_upload_receives_retry_after_immediately(self) -> None:
+        for _ in range(20):
+            self.upload()
+        answer = self.upload().written.lower()
+        self.assertIn(b"http/1.1 503", answer)
+        self.assertIn(b"retry-after:", answer)
+
+    def test_a_truncated_body_is_not_handled(self) -> None:
+        """A grower's connection is lost in the middle of a delivery note.
+
+        No part of it may run, because the grower sends the complete note again as another
+        request.
+        """
+        self.upload(0.5)
+        self.assertEqual([], self.handler.handled)
