--- a/briarspur/gateway/app.py
+++ b/briarspur/gateway/app.py
@@ -1,4 +1,4 @@
-"""One gateway process: its parts put together."""
+"""The gateway process: creates and connects its components."""
 
 import asyncio
 import random
@@ -42,29 +42,29 @@
 
 __all__ = ["Gateway"]
 
-BACKLOG = 1_024
-MOST_CHANNELS = 32
-CHANNEL_IDLE = 2.0
-"""Connections to other entries kept at most, and the seconds for which an unused one is. One may
-die without a word, and a pull over it hangs for 1 s; a new one costs 0.5 ms of processor time."""
+LISTEN_BACKLOG = 1_024
+MAX_PEER_CHANNELS = 32
+PEER_CHANNEL_IDLE_S = 2.0
+"""Idle connections to other entries are closed after this time: one may be lost silently, and a
+pull over it hangs for 1 s, whereas a new one costs 0.5 ms of processor time."""
 RESERVED_DESCRIPTORS = 300
-CALLER_SHARE = 0.6
-"""Share of the descriptors that callers' connections may take."""
-MB = 1_048_576
-TICK = 0.25
-LOOKUP_TTL = 2.0
-"""Seconds for which callers may keep a look-up; some keep it three times as long, and an entry that
-leaves serves on while they do."""
-LEAVE_LISTENING = 3.0
-"""Seconds for which a leaving entry still takes connections of callers with old look-ups."""
-LEAVE_MARGIN = 0.95
-"""Seconds before the platform kills the process within which it has ended by itself. On 0.43 of a
-core under load the end of the interpreter alone took over half a second."""
+CALLER_DESCRIPTOR_SHARE = 0.6
+"""Share of the file descriptors available to connections of callers."""
+BYTES_PER_MB = 1_048_576
+TICK_S = 0.25
+MAX_LOOKUP_TTL_S = 2.0
+"""Time for which callers may cache a look-up. Some cache it three times as long, so a leaving entry
+continues to serve them."""
+LEAVE_LISTEN_S = 3.0
+"""Time for which a leaving entry still accepts connections of callers with old look-ups."""
+LEAVE_MARGIN_S = 0.95
+"""The process exits this long before the platform kills it: on 0.43 of a core under load, the end
+of the interpreter alone takes over half a second."""
 METRICS_PATH = b"/metrics"
 
 
 class Gateway:
-    """Serves callers until it is told to stop."""
+    """Serves callers until it is stopped."""
 
     def __init__(
         self, settings: GatewaySettings, dialect: Dialect, source: ObjectSource, codec: Codec
@@ -78,9 +78,9 @@
         self._codec = codec
         self._started = time.time_ns() // 1_000_000
         self._rng = random.Random(f"{settings.entry_id}/{self._started}")
-        self._channels = PeerChannels(MOST_CHANNELS, CHANNEL_IDLE)
-        self.me = self._own_record()
-        self.fleet = Fleet(self.me)
+        self._channels = PeerChannels(MAX_PEER_CHANNELS, PEER_CHANNEL_IDLE_S)
+        self.own_record = self._make_own_record()
+        self.fleet = Fleet(self.own_record)
         self.steering = Steering(
             settings.entry_id,
             settings.zone,
@@ -91,8 +91,12 @@
         self.steering.quotas.started = self._reactor.seconds()
         self.log = RequestLog(self._reactor.seconds, lambda: self.following.confirmed_age())
         self.pool = ConnectionPool(self._reactor, settings.host)
-        connections = int((settings.descriptors - RESERVED_DESCRIPTORS) * CALLER_SHARE)
-        self.frontend = Frontend(self._reactor, self, settings.memory_mb * MB, connections)
+        max_connections = int(
+            (settings.descriptors - RESERVED_DESCRIPTORS) * CALLER_DESCRIPTOR_SHARE
+        )
+        self.frontend = Frontend(
+            self._reactor, self, settings.memory_mb * BYTES_PER_MB, max_connections
+        )
         self._services = Services(self.steering, self.pool, self._reactor, dialect, self.log)
         availability = StoreAvailability()
         self._read_times = read_times(settings.bounds.in_force_s)
@@ -103,15 +107,15 @@
             self._reactor.seconds,
             availability,
             lambda: self.following.confirmed_age(),
-            self._configured,
+            self._configuration_applied,
         )
-        self.news_port = NewsPort(self._heard)
+        self.news_port = NewsPort(self._news_received)
         self.gossip = Gossip(
-            self.me,
+            self.own_record,
             self.fleet,
             self.steering.loads,
             self.news_port,
-            self._counts,
+            self._in_flight_counts,
             lambda: self.following.significant(),
             lambda: self.following.store_age(),
             self.steering.usage_counts,
@@ -124,7 +128,7 @@
             self._reactor.seconds,
             self._rng,
             self._peer_address,
-            self._seeds(),
+            self._seed_addresses(),
             availability,
             lambda: self.gossip.advertise(self._reactor.seconds()),
             self._read_times,
@@ -136,7 +140,7 @@
             source,
             self.steering.loads,
             lambda: self.steering.targets.by_number.values(),
-            lambda: self.entry_ids[:1] == [self.me.entry_id] and not self.leaving,
+            lambda: self.entry_ids[:1] == [self.own_record.entry_id] and not self.leaving,
             self._rng,
         )
         self._records = EntryRecords(
@@ -151,16 +155,16 @@
         self._pull_server = PullServer(
             lambda kind: self.syncs[kind].replica, self.following.store_age
         )
-        self.open: set[Exchange] = set()
+        self.open_exchanges: set[Exchange] = set()
         self._tasks: list[asyncio.Task[None]] = []
         self._ports: list[Any] = []
         self.entry_ids: list[str] = []
         self.leaving = False
 
-    # Life
+    # Life cycle
 
     async def start(self) -> None:
-        """Listen, and begin to follow the store."""
+        """Open the listening ports and start following the store."""
         pages = self._pages()
         self._listen(self.settings.caller_address, self.frontend.factory)
         for address in {self.settings.ready_address, self.settings.lookup_address}:
@@ -169,37 +173,39 @@
         if self.settings.metrics_port:
             address = f"{self.settings.host}:{self.settings.metrics_port}"
             self._listen(address, PageFactory(pages))
-        if self.me.news_port:
+        if self.own_record.news_port:
             self._ports.append(
-                self._reactor.listenUDP(self.me.news_port, self.news_port, self.settings.host)
+                self._reactor.listenUDP(
+                    self.own_record.news_port, self.news_port, self.settings.host
+                )
             )
         for sync in self.syncs.values():
             self._tasks.append(asyncio.ensure_future(sync.run()))
         self._tasks.append(asyncio.ensure_future(self._warmth.run()))
         self._tasks.append(asyncio.ensure_future(self._records.write_own()))
         self._tasks.append(asyncio.ensure_future(self._records.delete_expired()))
-        if self.me.peer_port:
-            await self._pull_server.start(self.settings.host, self.me.peer_port)
+        if self.own_record.peer_port:
+            await self._pull_server.start(self.settings.host, self.own_record.peer_port)
         self._reactor.callLater(self.gossip.period(), self._send_news)
-        self._reactor.callLater(TICK, self._tick)
+        self._reactor.callLater(TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """Leave look-ups, serve on for callers that still know this entry, and end."""
-        began = self._reactor.seconds()
-        end = began + self.settings.bounds.grace_s - LEAVE_MARGIN
+        """Withdraw from look-ups, serve the callers that still use this entry, and shut down."""
+        leaving_since = self._reactor.seconds()
+        exit_by = leaving_since + self.settings.bounds.grace_s - LEAVE_MARGIN_S
         self.leaving = self.fleet.leaving = True
-        self.gossip.advertise(began)
+        self.gossip.advertise(leaving_since)
         self.frontend.close_connections()
-        logs.event("stop-leaving", open_requests=len(self.open))
-        while self._reactor.seconds() < began + LEAVE_LISTENING:
-            await asyncio.sleep(TICK)
+        logs.event("stop-leaving", open_requests=len(self.open_exchanges))
+        while self._reactor.seconds() < leaving_since + LEAVE_LISTEN_S:
+            await asyncio.sleep(TICK_S)
         for port in self._ports[:1]:
             port.stopListening()
         self.frontend.close_connections()
-        logs.event("stop-finishing", open_requests=len(self.open))
-        while self.open and self._reactor.seconds() < end:
+        logs.event("stop-finishing", open_requests=len(self.open_exchanges))
+        while self.open_exchanges and self._reactor.seconds() < exit_by:
             await asyncio.sleep(0.02)
-        # The last answers are on their way out of the sockets.
+        # Let the sockets send the last responses.
         await asyncio.sleep(0.1)
         for task in self._tasks:
             task.cancel()
@@ -208,13 +214,13 @@
         self._channels.close()
 
     def reload(self) -> None:
-        """Note that the settings file may have changed; connections and requests go on."""
+        """Log that the settings file may have changed; connections and requests continue."""
         logs.event("reloaded", entry=self.settings.entry_id)
 
     # Requests
 
     def handle(self, request: IncomingRequest, caller: FrontendRequest) -> Exchange | None:
-        """Carry a request; None if it was answered at once."""
+        """Start the exchange of a request and return it, or None if already answered."""
         now = self._reactor.seconds()
         arrival = self._dialect.arrival(request.uri, request.headers, len(request.body))
         self.log.arrived()
@@ -224,34 +230,34 @@
             self.log.refused(arrival.request_id, work, arrival.host, arrival.path, version)
             caller.refuse(work)
             return None
-        exchange = Exchange(self._services, request, work, caller, self._ended)
-        self.open.add(exchange)
+        exchange = Exchange(self._services, request, work, caller, self._exchange_ended)
+        self.open_exchanges.add(exchange)
         exchange.start()
         return None if exchange.done else exchange
 
     def refused_unread(self, refusal: Refusal) -> None:
-        """Count and log a request that was refused before it came whole."""
+        """Count and log a request that was refused before it was received completely."""
         self.log.finals[refusal.code.name] += 1
         logs.event("refused", code=int(refusal.code), code_name=refusal.code.name)
 
     def is_ready(self) -> bool:
-        """Return whether callers may come."""
+        """Return whether this entry can serve callers."""
         return (
             not self.leaving
             and self.steering.configuration is not None
             and bool(self.steering.targets.by_service)
         )
 
-    def _ended(self, exchange: Exchange) -> None:
-        self.open.discard(exchange)
+    def _exchange_ended(self, exchange: Exchange) -> None:
+        self.open_exchanges.discard(exchange)
 
-    # What is in force
+    # Store and configuration
 
-    def _configured(self, configuration: Configuration) -> None:
+    def _configuration_applied(self, configuration: Configuration) -> None:
         self.frontend.apply_limits(configuration.limits)
 
-    def _changed(self, kind: Kind, changes: Sequence[StoredChange], way: Way) -> None:
-        self.applier.changed(kind, changes, way)
+    def _store_changed(self, kind: Kind, changes: Sequence[StoredChange], source: Way) -> None:
+        self.applier.changed(kind, changes, source)
 
     def _make_sync(self, kind: Kind) -> Sync:
         return Sync(
@@ -260,7 +266,7 @@
             self._read_times.paces[kind],
             self._rng,
             self.following.gate,
-            self._changed,
+            self._store_changed,
             self.following.store_answered,
             self.following.read,
             self._reactor.seconds,
@@ -268,7 +274,7 @@
 
     # Other entries
 
-    def _heard(self, news: News) -> None:
+    def _news_received(self, news: News) -> None:
         if self.gossip.received(news, self._reactor.seconds()):
             self.following.heard(news)
 
@@ -282,12 +288,16 @@
             return None
         return Address(record.host, record.peer_port)
 
-    def _seeds(self) -> list[Address]:
-        own = self.settings.peer_address
-        texts = [text for text in self.settings.seeds.split(",") if text and text != own]
-        return [Address(text.rpartition(":")[0], _port(text)) for text in texts]
+    def _seed_addresses(self) -> list[Address]:
+        own_address = self.settings.peer_address
+        addresses = [
+            address
+            for address in self.settings.seeds.split(",")
+            if address and address != own_address
+        ]
+        return [Address(address.rpartition(":")[0], _port(address)) for address in addresses]
 
-    def _counts(self) -> Counter[int]:
+    def _in_flight_counts(self) -> Counter[int]:
         return Counter(
             {
                 number: target.in_flight
@@ -297,7 +307,7 @@
         )
 
     def _tick(self) -> None:
-        self._reactor.callLater(TICK, self._tick)
+        self._reactor.callLater(TICK_S, self._tick)
         now = self._reactor.seconds()
         self.steering.loads.expire(now)
         self.applier.tick()
@@ -341,17 +351,19 @@
 
     def _lookup_page(self, query: bytes) -> Page:
         region, zone = self._codec.lookup_place(query)
-        entries = self.fleet.for_caller(region or self.me.region, zone, self._reactor.seconds())
-        ttl = min(LOOKUP_TTL, self.settings.bounds.lookup_ttl_s)
+        entries = self.fleet.for_caller(
+            region or self.own_record.region, zone, self._reactor.seconds()
+        )
+        ttl = min(MAX_LOOKUP_TTL_S, self.settings.bounds.lookup_ttl_s)
         return Page(200, self._codec.lookup_body(entries, ttl))
 
-    # Parts
+    # Internals
 
     def _listen(self, address: str, factory: Any) -> None:
         host, _, port = address.rpartition(":")
-        self._ports.append(self._reactor.listenTCP(int(port), factory, BACKLOG, host))
+        self._ports.append(self._reactor.listenTCP(int(port), factory, LISTEN_BACKLOG, host))
 
-    def _own_record(self) -> EntryRecord:
+    def _make_own_record(self) -> EntryRecord:
         settings = self.settings
         first_port = settings.news_ports.split(",")[0]
         return EntryRecord(
--- a/briarspur/gateway/metricspage.py
+++ b/briarspur/gateway/metricspage.py
@@ -1,4 +1,4 @@
-"""What a gateway process shows of itself to scrapers."""
+"""The metrics of a gateway process, as exposed to scrapers."""
 
 from collections import Counter
 from typing import TYPE_CHECKING
@@ -10,8 +10,8 @@
 
 __all__ = ["metrics_text"]
 
-MOST_CUSTOMERS = 50
-"""Customers shown by name, those with the most refusals."""
+MAX_CUSTOMERS = 50
+"""Maximum number of customers listed by name, those with the most refusals first."""
 
 
 def metrics_text(gateway: "Gateway") -> bytes:
@@ -22,23 +22,23 @@
     for route, histogram in sorted(gateway.log.answer_times.items()):
         page.histogram("answer_seconds", histogram, route=route)
     page.histogram("attempt_seconds", gateway.log.attempt_times)
-    page.value("open_requests", len(gateway.open))
+    page.value("open_requests", len(gateway.open_exchanges))
     page.value("target_connections_total", gateway.pool.created)
-    _targets(page, gateway)
+    _add_targets(page, gateway)
     page.value("entries_live", len(gateway.entry_ids))
     page.value("configuration_version", gateway.steering.version)
-    _store(page, gateway)
-    for way, ages in sorted(gateway.applier.departure_ages.items()):
-        page.histogram("departure_age_seconds", ages, way=way)
+    _add_store(page, gateway)
+    for source, ages in sorted(gateway.applier.departure_ages.items()):
+        page.histogram("departure_age_seconds", ages, way=source)
     page.value("objects_malformed_total", gateway.applier.malformed)
     page.value("configuration_parts_malformed_total", gateway.applier.parts_malformed)
-    for name, count in gateway.steering.quotas.refusals_by_name.most_common(MOST_CUSTOMERS):
+    for name, count in gateway.steering.quotas.refusals_by_name.most_common(MAX_CUSTOMERS):
         page.value("quota_refusals_total", count, customer=name)
     page.value("news_malformed_total", gateway.news_port.malformed)
     return page.text()
 
 
-def _targets(page: Exposition, gateway: "Gateway") -> None:
+def _add_targets(page: Exposition, gateway: "Gateway") -> None:
     now = gateway.pool.seconds()
     leaving = Counter(
         target.registration.service
@@ -56,7 +56,7 @@
         page.value("in_flight", sum(target.load for target in targets), service=service)
 
 
-def _store(page: Exposition, gateway: "Gateway") -> None:
+def _add_store(page: Exposition, gateway: "Gateway") -> None:
     now = gateway.pool.seconds()
     for kind, sync in gateway.syncs.items():
         name = kind.name.lower()
--- a/tests/gateway/spreading.py
+++ b/tests/gateway/spreading.py
@@ -11,7 +11,7 @@
 
 from briarspur.coord.address import Address
 from briarspur.errors import PeerError
-from briarspur.gateway.app import CHANNEL_IDLE
+from briarspur.gateway.app import PEER_CHANNEL_IDLE_S
 from briarspur.gateway.availability import StoreAvailability
 from briarspur.gateway.entryrecord import EntryRecord
 from briarspur.gateway.fleet import Fleet
@@ -91,7 +91,7 @@
     async def pull(self, address: Address, kind: Kind, newer_than: int) -> Pulled | None:
         """Copy another entry's objects, as :class:`PullClient`."""
         other, entry_id, net = address.host, self.record.entry_id, self.world.net
-        channel = self._channels.setdefault(other, Connections(entry_id, net, CHANNEL_IDLE))
+        channel = self._channels.setdefault(other, Connections(entry_id, net, PEER_CHANNEL_IDLE_S))
         try:
             async with asyncio.timeout(PULL_TIMEOUT):
                 await channel.open()
