--- a/briarspur/gateway/app.py
+++ b/briarspur/gateway/app.py
@@ -223,11 +223,11 @@
         """Start the exchange of a request and return it, or None if already answered."""
         now = self._reactor.seconds()
         arrival = self._dialect.arrival(request.uri, request.headers, len(request.body))
-        self.log.arrived()
+        self.log.request_arrived()
         work = self.steering.begin(arrival, now)
         if isinstance(work, Refused):
             version = self.steering.version
-            self.log.refused(arrival.request_id, work, arrival.host, arrival.path, version)
+            self.log.request_refused(arrival.request_id, work, arrival.host, arrival.path, version)
             caller.refuse(work)
             return None
         exchange = Exchange(self._services, request, work, caller, self._exchange_ended)
@@ -237,7 +237,7 @@
 
     def refused_unread(self, refusal: Refusal) -> None:
         """Count and log a request that was refused before it was received completely."""
-        self.log.finals[refusal.code.name] += 1
+        self.log.final_counts[refusal.code.name] += 1
         logs.event("refused", code=int(refusal.code), code_name=refusal.code.name)
 
     def is_ready(self) -> bool:
--- a/briarspur/gateway/metricspage.py
+++ b/briarspur/gateway/metricspage.py
@@ -17,8 +17,8 @@
 def metrics_text(gateway: "Gateway") -> bytes:
     """Return the metrics page."""
     page = Exposition()
-    page.values("requests_total", "code", gateway.log.finals)
-    page.values("attempts_total", "outcome", gateway.log.outcomes)
+    page.values("requests_total", "code", gateway.log.final_counts)
+    page.values("attempts_total", "outcome", gateway.log.outcome_counts)
     for route, histogram in sorted(gateway.log.answer_times.items()):
         page.histogram("answer_seconds", histogram, route=route)
     page.histogram("attempt_seconds", gateway.log.attempt_times)
--- a/briarspur/gateway/requestlog.py
+++ b/briarspur/gateway/requestlog.py
@@ -1,4 +1,4 @@
-"""The story of each request: log lines within a bound, counters and latency histograms."""
+"""Logging of requests: rate-limited log lines, counters and latency histograms."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -13,49 +13,51 @@
 
 __all__ = ["RequestLog"]
 
-ROUTINE_PER_S = 5.0
-"""Requests answered as they should whose lines are written per second; beyond, whole requests are
-left out by their ids."""
-FAILURES_PER_S = 200.0
-"""Lines about refusals and failures per second; beyond, they are counted only."""
-BURST_S = 2.0
-"""Seconds of the rates above that may come at once."""
-LARGEST_STEP = 10
-"""Sampling goes down to one request in two to this power."""
-LONGEST_AGE = 9_999.0
-"""Seconds shown for knowledge that the store never confirmed."""
-WINDOW = 1.0
-"""Seconds over which the rate of requests is taken to choose the sampling."""
+MAX_ROUTINE_REQUESTS_PER_S = 5.0
+"""Successful requests logged per second. Above this rate requests are sampled by id, so that either
+all lines of a request are logged or none."""
+MAX_FAILURE_LINES_PER_S = 200.0
+"""Log lines for refusals and failures per second. Above this rate they are only counted."""
+FAILURE_BURST_S = 2.0
+"""Burst of failure lines, in seconds of the rate above."""
+MAX_SAMPLING_EXPONENT = 10
+"""The lowest sampling rate is one request in two to this power."""
+MAX_SHOWN_AGE_S = 9_999.0
+"""Logged as the age of data that the store has never confirmed."""
+RATE_WINDOW_S = 1.0
+"""The sampling rate is adjusted to the request rate over this time."""
 
 
 class RequestLog:
-    """Writes the lines of requests and counts them; implements :class:`ExchangeLog`.
+    """Logs and counts requests; implements :class:`ExchangeLog`.
 
-    All lines of a request are written or none, by its id alone: every entry that an id passes
-    through chooses alike. Refusals and failures are always written, within their own bound.
+    Whether the lines of a request are logged depends on its id alone, so all entries that handle
+    the same id decide alike. Refusals and failures are always logged, within their own rate limit.
 
     Parameters
     ----------
     store_age : callable
-        Returns the seconds since the store confirmed what this entry knows.
+        Returns the seconds since the store last confirmed this entry's data.
     """
 
     def __init__(self, clock: Callable[[], float], store_age: Callable[[], float]) -> None:
         self._clock = clock
         self._store_age = store_age
         now = clock()
-        self._failures = TokenBucket(FAILURES_PER_S, FAILURES_PER_S * BURST_S, now)
-        self._window_began = now
-        self._in_window = 0
-        self._step = 0
-        self._left_out = 0
-        self.finals: Counter[str] = Counter()
-        self.outcomes: Counter[str] = Counter()
+        self._failure_bucket = TokenBucket(
+            MAX_FAILURE_LINES_PER_S, MAX_FAILURE_LINES_PER_S * FAILURE_BURST_S, now
+        )
+        self._window_start = now
+        self._window_count = 0
+        self._sampling_exponent = 0
+        self._omitted = 0
+        self.final_counts: Counter[str] = Counter()
+        self.outcome_counts: Counter[str] = Counter()
         self.answer_times: dict[str, Histogram] = {}
         self.attempt_times = Histogram()
 
     def attempt_started(self, attempt: Attempt, number: int, why: str) -> None:
-        """Note an attempt."""
+        """Record the start of an attempt."""
         work = attempt.work
         if not self._is_sampled(work.request_id):
             return
@@ -76,14 +78,14 @@
         )
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, detail: str, now: float) -> None:
-        """Note the end of an attempt."""
-        self.outcomes[outcome.value] += 1
+        """Record the end of an attempt."""
+        self.outcome_counts[outcome.value] += 1
         seconds = now - attempt.started
         self.attempt_times.record(seconds)
         if outcome is Outcome.ANSWERED:
             if not self._is_sampled(attempt.work.request_id):
                 return
-        elif not self._may_tell_failure():
+        elif not self._may_log_failure():
             return
         logs.event(
             "attempt-ended",
@@ -99,15 +101,15 @@
     def request_ended(
         self, work: Work, code: Code, status: int, now: float, detail: str = ""
     ) -> None:
-        """Note the final answer, with what led to it if it is our own."""
-        self.finals[code.name] += 1
+        """Record the final response; ``detail`` is the cause of one that this process generated."""
+        self.final_counts[code.name] += 1
         seconds = now - work.arrived
         self._histogram(work.route.name).record(seconds)
         if code is Code.ANSWERED:
             if not self._is_sampled(work.request_id):
-                self._left_out += 1
+                self._omitted += 1
                 return
-        elif not self._may_tell_failure():
+        elif not self._may_log_failure():
             return
         logs.event(
             _final_event(code),
@@ -123,16 +125,16 @@
             tried=",".join(t.registration.target_id for t in work.tried) or None,
             sent=work.sent,
             version=work.version,
-            store_age=f"{min(self._store_age(), LONGEST_AGE):.1f}",
+            store_age=f"{min(self._store_age(), MAX_SHOWN_AGE_S):.1f}",
             detail=detail or None,
         )
 
-    def refused(
+    def request_refused(
         self, request_id: str, refused: Refused, host: str, path: str, version: int
     ) -> None:
-        """Note a request that was refused before it had a route."""
-        self.finals[refused.code.name] += 1
-        if self._may_tell_failure():
+        """Record a request that was refused before it was routed."""
+        self.final_counts[refused.code.name] += 1
+        if self._may_log_failure():
             logs.event(
                 _final_event(refused.code),
                 request=request_id,
@@ -144,28 +146,32 @@
                 detail=refused.detail or None,
             )
 
-    def arrived(self) -> None:
-        """Count a request for the choice of the sampling."""
-        self._in_window += 1
+    def request_arrived(self) -> None:
+        """Count a request and adjust the sampling rate once per window."""
+        self._window_count += 1
         now = self._clock()
-        if now - self._window_began < WINDOW:
+        if now - self._window_start < RATE_WINDOW_S:
             return
-        rate = self._in_window / (now - self._window_began)
-        step = 0
-        while rate / 2.0**step > ROUTINE_PER_S and step < LARGEST_STEP:
-            step += 1
-        if step != self._step:
-            logs.event("log-sampling", one_in=2**step, rate=f"{rate:.0f}", left_out=self._left_out)
-            self._step, self._left_out = step, 0
-        self._window_began, self._in_window = now, 0
+        rate = self._window_count / (now - self._window_start)
+        exponent = 0
+        while (
+            rate / 2.0**exponent > MAX_ROUTINE_REQUESTS_PER_S and exponent < MAX_SAMPLING_EXPONENT
+        ):
+            exponent += 1
+        if exponent != self._sampling_exponent:
+            logs.event(
+                "log-sampling", one_in=2**exponent, rate=f"{rate:.0f}", left_out=self._omitted
+            )
+            self._sampling_exponent, self._omitted = exponent, 0
+        self._window_start, self._window_count = now, 0
 
     def _is_sampled(self, request_id: str) -> bool:
-        return crc32(request_id.encode()) % (1 << self._step) == 0
+        return crc32(request_id.encode()) % (1 << self._sampling_exponent) == 0
 
-    def _may_tell_failure(self) -> bool:
-        if self._failures.take(self._clock()):
+    def _may_log_failure(self) -> bool:
+        if self._failure_bucket.take(self._clock()):
             return True
-        self.finals["lines_left_out"] += 1
+        self.final_counts["lines_left_out"] += 1
         return False
 
     def _histogram(self, route: str) -> Histogram:
--- a/briarspur/gateway/settings.py
+++ b/briarspur/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the gateway."""
+"""Settings of the gateway process."""
 
 import math
 
@@ -11,15 +11,15 @@
 
 
 class StoreSettings(Document):
-    """The platform's store.
+    """Connection to the platform's object store.
 
     Attributes
     ----------
     idle_s : float
-        Seconds for which an unused connection is kept. A connection may die without a word, and the
-        next call on it hangs until its timeout: an entry that asked the store after a long rest
-        learnt 1.5 s late that a backend server had left. Within 2 s the death is part of the
-        disturbance itself; entries count as disturbed for 3 s and more.
+        Seconds for which an idle connection is kept. A connection may be lost silently, and the
+        next call on it hangs until its timeout: an entry that queried the store after a long idle
+        time learned 1.5 s late that a backend server had left. A loss within 2 s is part of the
+        disturbance itself, and entries count as disturbed for 3 s and longer.
     """
 
     address: str = Field(pattern=r"^[0-9.]+:\d{1,5}$")
@@ -28,7 +28,7 @@
 
 
 class BoundSettings(Document):
-    """Bounds of the deployment, each with its unit in its name."""
+    """Limits of the deployment; the unit is part of each name."""
 
     model_config = ConfigDict(extra="ignore", frozen=True, strict=False)
 
@@ -48,17 +48,17 @@
 
     @property
     def configuration_s(self) -> float:
-        """Seconds after its acknowledgement in which a configuration must be in force."""
+        """Seconds after its acknowledgement within which a configuration must take effect."""
         return self.configuration_ms / 1_000.0
 
     @property
     def revoke_after_s(self) -> float:
-        """Seconds without news of the store after which no key is taken for valid."""
+        """Seconds without confirmation by the store after which no API key is accepted."""
         return self.revoke_ms / 1_000.0 if self.strict_revoke else math.inf
 
     @property
     def in_force_s(self) -> float:
-        """Seconds after its acknowledgement in which any change must be in force."""
+        """Seconds after its acknowledgement within which any change must take effect."""
         return min(self.drain_ms, self.configuration_ms, self.evacuation_ms) / 1_000.0
 
 
@@ -68,15 +68,15 @@
     Attributes
     ----------
     peer_address : str
-        Where other entries call; empty if they can't.
+        Address for calls from other entries; empty if it accepts none.
     news_ports : str
-        First and last port that is free for datagrams between entries, joined by a comma.
+        First and last port available for datagrams between entries, separated by a comma.
     processor_share, cores : float
-        The VM's processor: a share of one that is so many times as fast as a plain core.
+        The VM's processor: a share of a processor that is ``cores`` times as fast as one core.
     link_mbps : float
-        What the VM's link carries, in Mbit/s.
+        Bandwidth of the VM's link in Mbit/s.
     seeds : list of str
-        Addresses at which other entries may be called when the store does not answer.
+        Addresses of other entries to call when the store does not respond.
     """
 
     model_config = ConfigDict(extra="ignore", frozen=True, strict=False)
