--- a/briarspur/gateway/connection.py
+++ b/briarspur/gateway/connection.py
@@ -14,7 +14,7 @@
 
 from briarspur.answerhead import AnswerHead
 
-__all__ = ["ResponseSink", "ConnectionOwner", "ExpectedResponse", "TargetConnection"]
+__all__ = ["ConnectionOwner", "ExpectedResponse", "ResponseSink", "TargetConnection"]
 
 HEAD_METHOD = b"HEAD"
 
--- a/briarspur/gateway/pool.py
+++ b/briarspur/gateway/pool.py
@@ -10,7 +10,7 @@
 
 from briarspur.gateway.connection import TargetConnection
 
-__all__ = ["PendingConnection", "ConnectionPool"]
+__all__ = ["ConnectionPool", "PendingConnection"]
 
 CONNECT_TIMEOUT_S = 0.5
 """The round trip between the farthest regions takes 70 ms; a server that has not accepted after
--- a/tests/gateway/exchangecase.py
+++ b/tests/gateway/exchangecase.py
@@ -25,10 +25,10 @@
     "Recorder",
     "Script",
     "answers",
+    "full_response",
     "hangs",
     "resets",
     "sheds",
-    "full_response",
 ]
 
 Script = Callable[[Connection, bytes], Awaitable[None]]
