--- a/briarspur/gateway/app.py
+++ b/briarspur/gateway/app.py
@@ -112,7 +112,7 @@
             self.steering.loads,
             self.news_port,
             self._counts,
-            lambda: self.following.significant(),
+            lambda: self.following.significant_revisions(),
             lambda: self.following.store_age(),
             self.steering.uses,
             self.steering.quotas.worth_telling,
@@ -259,10 +259,10 @@
             Replica(kind, lambda value: self._codec.essence(kind, value)),
             self._read_times.paces[kind],
             self._rng,
-            self.following.gate,
+            self.following.read_delay,
             self._changed,
-            self.following.store_answered,
-            self.following.read,
+            self.following.record_call,
+            self.following.record_read,
             self._reactor.seconds,
         )
 
@@ -270,7 +270,7 @@
 
     def _heard(self, news: News) -> None:
         if self.gossip.received(news, self._reactor.seconds()):
-            self.following.heard(news)
+            self.following.received(news)
 
     def _send_news(self) -> None:
         self._reactor.callLater(self.gossip.period(), self._send_news)
--- a/briarspur/gateway/following.py
+++ b/briarspur/gateway/following.py
@@ -1,4 +1,4 @@
-"""Who asks the store, and who asks other entries instead."""
+"""Decides when an entry reads the store itself, and when it copies from other entries instead."""
 
 import asyncio
 import logging
@@ -18,43 +18,44 @@
 
 __all__ = ["Following"]
 
-MOST_PULLS = 2
-"""Pulls of one kind at once. After a change all members of a group tell of it in the same tenth of
-a second; a second pull is only for the case that the first one hangs."""
-SETTLE = 0.35
-"""Seconds after the other entries' addresses are known in which their news arrive; before, a
-process that has just started can't tell whether it is a reader."""
-START_WAIT = 1.0
-MEMBER_START_WAIT = 2.5
-"""Seconds after its start from which a process asks the store itself if nobody told it anything:
-one that comes among the first of its group's recorded entries, and any other one. When a whole
-fleet restarts, its members hear nobody for a moment; if each took itself for a reader then, all of
-them would list everything."""
-UNKNOWN_SENDER = 0.5
-"""Seconds after news of an entry without a record here in which the records are read again."""
-FIRST_STEP = 0.02
-"""Seconds between two looks while the other entries are being listed, which takes about 0.02 s."""
-GATE_STEP = 0.05
-ROLE_STEP = 0.25
-"""Seconds between two looks at whether the store may be asked: the shortest, and the longest, in
-which a change of role is noticed."""
-SELDOM = frozenset({Kind.CONFIGURATION, Kind.EVACUATIONS, Kind.ENTRIES})
-"""Kinds that the second reader of a group follows through the first one's news. Registrations,
-which change all the time, both read."""
-FALLBACK_PAUSE = 1.5
-"""Mean seconds between two questions of an entry that is no reader, while the store does not answer
-it either. In an outage a fleet of 91 then makes 60 calls per second, of 6,000 allowed."""
+MAX_PULLS = 2
+"""Simultaneous pulls of one kind. After a change, all members of a group advertise it within the
+same tenth of a second; the second pull is needed only if the first one hangs."""
+NEWS_WAIT_S = 0.35
+"""Time for the news of the other entries to arrive once their addresses are known. Before that, a
+process that has just started can't determine whether it is a reader."""
+START_WAIT_S = 1.0
+MEMBER_START_WAIT_S = 2.5
+"""Time after its start from which a process that received no news reads the store itself: the first
+value if it is among the first recorded entries of its group, the second one otherwise. When a whole
+fleet restarts, its members receive no news for a moment; if each of them then considered itself a
+reader, all of them would list everything."""
+UNKNOWN_SENDER_S = 0.5
+"""Time for which the entry records may be read again after news from an entry without a record."""
+STARTUP_POLL_S = 0.02
+"""Time between two checks while the other entries are being listed, which takes about 0.02 s."""
+MIN_POLL_S = 0.05
+MAX_POLL_S = 0.25
+"""Limits on the time between two checks of whether the store may be read. The upper limit is the
+time within which a change of role is noticed."""
+RARELY_CHANGING = frozenset({Kind.CONFIGURATION, Kind.EVACUATIONS, Kind.ENTRIES})
+"""Kinds that the second reader of a group follows through the news of the first reader.
+Registrations change all the time, so both readers read them."""
+FALLBACK_INTERVAL_S = 1.5
+"""Mean time between two calls of an entry that is not a reader, while the store doesn't answer its
+calls either. In an outage, a fleet of 91 entries then makes 60 calls per second, of 6,000 allowed.
+"""
 
 
 class Following:
-    """Opens and closes the way to the store for each kind, and pulls from other entries.
+    """Controls when each kind is read from the store, and pulls changes from other entries.
 
     Parameters
     ----------
     seeds : iterable of Address
-        Entries to ask when the store does not answer at the start.
+        Entries to pull from if the store does not answer at the start.
     on_read : callable
-        Told when this entry has read the store: it may tell the others.
+        Called after this entry has read the store, so that the read can be advertised.
     """
 
     def __init__(
@@ -79,65 +80,65 @@
         self._availability = availability
         self._on_read = on_read
         self._times = times
-        self._began = clock()
-        self._settled_at = float("inf")
+        self._started_at = clock()
+        self._news_complete_at = float("inf")
         self._unknown_until = float("-inf")
         self._confirmed_at = float("-inf")
-        self._seldom_confirmed_at = float("-inf")
+        self._rarely_changing_confirmed_at = float("-inf")
         self._read_at = float("-inf")
         self._next_fallback = float("-inf")
-        # By sender: a pull from one entry that hangs must not keep back what another one knows.
+        # Keyed by sender: a hanging pull from one entry must not block pulls from another one.
         self._pulling: set[tuple[Address, Kind]] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._was_reading = False
 
     def store_age(self) -> float:
-        """Return the seconds since the store itself confirmed to this entry what it knows.
+        """Return the seconds since the store itself confirmed this entry's copies.
 
-        What others said does not count. Each hop of such news would lose the time of its way, and
-        entries that hear one another every few milliseconds would keep an outage's last
-        confirmation young for ever: none of them would ask the store again.
+        Confirmations that other entries received do not count. The transit delay would be lost at
+        each hop of such news, and entries that exchange news every few milliseconds would keep the
+        last confirmation before an outage recent for ever: none of them would read the store again.
         """
         return self._clock() - self._read_at
 
     def confirmed_age(self) -> float:
-        """Return the seconds since the store confirmed this knowledge, here or to a reader."""
+        """Return the seconds since the store confirmed these copies, to this entry or a reader."""
         return self._clock() - self._confirmed_at
 
-    def significant(self) -> dict[Kind, int]:
+    def significant_revisions(self) -> dict[Kind, int]:
         """Return the latest significant revision of each kind."""
         return {kind: sync.replica.significant for kind, sync in self.syncs.items()}
 
-    def gate(self, kind: Kind) -> float:
-        """Return 0 if the store may be asked about a kind, else the seconds until the next look."""
+    def read_delay(self, kind: Kind) -> float:
+        """Return 0 if a kind may be read from the store, else the seconds until the next check."""
         now = self._clock()
         sync = self.syncs[kind]
         if sync.replica.revision == 0:
             entries_known = self.syncs[Kind.ENTRIES].replica.revision > 0
             if kind is Kind.ENTRIES or (entries_known and self._gossip.in_one_group()):
-                # Every caller is refused until the first copy is there. In a small fleet the calls
-                # of all entries that restart together are few, so none waits for another's news:
-                # that took 0.55 s of the first second after a loss of power.
+                # Every caller is refused until the first copy is complete. In a small fleet, the
+                # calls of all entries that restart together are few, so none of them waits for the
+                # news of others: waiting took 0.55 s of the first second after a loss of power.
                 return 0.0
             if not entries_known:
-                return FIRST_STEP
+                return STARTUP_POLL_S
         if kind is Kind.ENTRIES and now < self._unknown_until:
             return 0.0
         if not self._may_read(now):
-            return self._next_look(now)
-        if kind in SELDOM and sync.replica.revision > 0 and self._first_reader_tells(now):
-            return self._next_look(now)
+            return self._poll_delay(now)
+        if kind in RARELY_CHANGING and sync.replica.revision > 0 and self._relies_on_first(now):
+            return self._poll_delay(now)
         failing = self.syncs[Kind.TARGETS].failing
         if failing and kind is not Kind.TARGETS:
-            return GATE_STEP
+            return MIN_POLL_S
         if failing and not self._gossip.groups.is_reader:
             if now < self._next_fallback:
-                return GATE_STEP
-            self._next_fallback = now + FALLBACK_PAUSE * self._rng.uniform(0.5, 1.5)
+                return MIN_POLL_S
+            self._next_fallback = now + FALLBACK_INTERVAL_S * self._rng.uniform(0.5, 1.5)
         return 0.0
 
-    def store_answered(self, kind: Kind, reachable: bool) -> None:
-        """Take the end of a call to the store."""
+    def record_call(self, kind: Kind, reachable: bool) -> None:
+        """Record whether the store answered a call."""
         now = self._clock()
         if not reachable:
             for other, sync in self.syncs.items():
@@ -146,32 +147,32 @@
             return
         if kind is Kind.TARGETS:
             self._availability.answered(now, now)
-        if kind is Kind.ENTRIES and self._settled_at == float("inf"):
-            self._settled_at = now + SETTLE
+        if kind is Kind.ENTRIES and self._news_complete_at == float("inf"):
+            self._news_complete_at = now + NEWS_WAIT_S
 
-    def read(self, kind: Kind, as_of: float) -> None:
-        """Note that all changes of a kind up to a moment were taken from the store."""
+    def record_read(self, kind: Kind, as_of: float) -> None:
+        """Record that all changes of a kind up to a time were read from the store."""
         now = self._clock()
         if kind is not Kind.TARGETS:
             return
-        told = self._first_reader_tells(now)
-        own = (s for k, s in self.syncs.items() if not (told and k in SELDOM))
+        relies = self._relies_on_first(now)
+        own = (s for k, s in self.syncs.items() if not (relies and k in RARELY_CHANGING))
         if all(sync.is_current(now) for sync in own):
-            as_of = min(as_of, self._seldom_confirmed_at) if told else as_of
+            as_of = min(as_of, self._rarely_changing_confirmed_at) if relies else as_of
             self._read_at = as_of
             self._confirmed_at = max(self._confirmed_at, as_of)
             self._on_read()
 
-    def heard(self, news: News) -> None:
-        """Take another entry's knowledge: what it has beyond this one's is pulled."""
-        # A sender that has not read for long says nothing about the store of now: one that has just
-        # started names an age without end.
+    def received(self, news: News) -> None:
+        """Handle news of another entry: pull the changes that this entry lacks."""
+        # The news of a sender that hasn't read the store for long say nothing about its present
+        # state; a sender that has just started reports an infinite age.
         if news.store_age <= self._times.fresh:
             now = self._clock()
             self._availability.answered(now - news.store_age, now)
         # A copy is complete up to its revision, so only a later change can be missing. The latest
-        # significant revision here is no measure: it may be that of a renewal which brought an
-        # earlier change along, and would hide another server's change between the two.
+        # significant revision of the copy can't be compared: it may be that of a renewal that
+        # brought an earlier change along, and would hide a change of another server between them.
         behind = [
             kind
             for kind, sync in self.syncs.items()
@@ -182,25 +183,27 @@
                 as_of = self._clock() - news.store_age
                 self._confirmed_at = max(self._confirmed_at, as_of)
                 if news.entry_id == self._gossip.groups.first_id:
-                    self._seldom_confirmed_at = max(self._seldom_confirmed_at, as_of)
+                    self._rarely_changing_confirmed_at = max(
+                        self._rarely_changing_confirmed_at, as_of
+                    )
             return
         address = self._address_of(news.entry_id)
         if address is None:
-            # Its record was written after this entry had listed them.
-            self._unknown_until = self._clock() + UNKNOWN_SENDER
+            # Its record was written after this entry listed the records.
+            self._unknown_until = self._clock() + UNKNOWN_SENDER_S
             return
-        # An entry that follows the store itself needs no copies of registrations as long as the
-        # store answers it; they change often, and it has just read them or is about to. One whose
-        # own call hung took none of what the others told it: it sent to servers that had left until
-        # the call timed out, 1.5 s later, and in a cut for as long as that lasted. The other kinds
-        # change seldom, and their watches may hang unnoticed for 5 s.
-        own = self._is_reading() and self._store_answers_me()
+        # An entry that reads the store itself needs no copies of registrations as long as the store
+        # answers: they change often, and it has just read them or is about to. But an entry whose
+        # call hung, and which therefore pulled no copies, sent requests to servers that had left
+        # until the call timed out 1.5 s later, and in a network partition for as long as that
+        # lasted. The other kinds change rarely, and their watches may hang unnoticed for 5 s.
+        own = self._is_reading() and self._store_answers()
         for kind in behind:
             if kind is not Kind.TARGETS or not own:
                 self._start_pull(address, kind)
 
     def tick(self) -> None:
-        """Note a change of role, and ask the seeds if the store is silent at the start."""
+        """Log a change of role; pull from the seeds if the store is unreachable at the start."""
         reading = self._is_reading()
         if reading != self._was_reading:
             self._was_reading = reading
@@ -217,49 +220,51 @@
                     self._start_pull(address, kind)
 
     def close(self) -> None:
-        """End the pulls in progress."""
+        """Cancel the pulls in progress."""
         for task in list(self._tasks):
             task.cancel()
 
     def _may_read(self, now: float) -> bool:
         expected = self._gossip.groups.is_expected_reader
-        settled = now >= self._settled_at and expected
-        if not settled and now - self._began < self._start_wait():
+        role_known = now >= self._news_complete_at and expected
+        if not role_known and now - self._started_at < self._start_wait():
             return False
         return self._is_reading()
 
     def _start_wait(self) -> float:
         expected = self._gossip.groups.is_expected_reader
-        return START_WAIT if expected else MEMBER_START_WAIT
+        return START_WAIT_S if expected else MEMBER_START_WAIT_S
 
     def _is_reading(self) -> bool:
         if self._gossip.groups.is_reader:
             return True
         now = self._clock()
-        if now - max(self._began, self._confirmed_at) <= self._times.fresh:
-            return now - self._began > self._start_wait() and self._confirmed_at == float("-inf")
+        if now - max(self._started_at, self._confirmed_at) <= self._times.fresh:
+            return now - self._started_at > self._start_wait() and self._confirmed_at == float(
+                "-inf"
+            )
         return True
 
-    def _first_reader_tells(self, now: float) -> bool:
-        """Return whether this is the second reader, and the first one told of all kinds lately."""
+    def _relies_on_first(self, now: float) -> bool:
+        """Return whether this is the second reader and the first one's news are recent."""
         groups = self._gossip.groups
         if not groups.is_reader or groups.is_first:
             return False
-        return now - self._seldom_confirmed_at <= self._times.fresh
+        return now - self._rarely_changing_confirmed_at <= self._times.fresh
 
-    def _next_look(self, now: float) -> float:
-        """Return the seconds until the knowledge of others may be too old, or the role another."""
+    def _poll_delay(self, now: float) -> float:
+        """Return the seconds until the received news may be too old, or the role may change."""
         if self._confirmed_at == float("-inf"):
-            return GATE_STEP
+            return MIN_POLL_S
         left = self._times.fresh - (now - self._confirmed_at)
-        return min(ROLE_STEP, max(GATE_STEP, left))
+        return min(MAX_POLL_S, max(MIN_POLL_S, left))
 
-    def _store_answers_me(self) -> bool:
+    def _store_answers(self) -> bool:
         return not self.syncs[Kind.TARGETS].failing and self.store_age() <= self._times.own_read
 
     def _start_pull(self, address: Address, kind: Kind) -> None:
         senders = [sender for sender, pulled in self._pulling if pulled is kind]
-        if address not in senders and len(senders) < MOST_PULLS:
+        if address not in senders and len(senders) < MAX_PULLS:
             self._pulling.add((address, kind))
             self._start(self._pull(address, kind))
 
--- a/tests/gateway/followers.py
+++ b/tests/gateway/followers.py
@@ -1,4 +1,4 @@
-"""A few entries that follow a store of the test, and pull from one another over loopback."""
+"""A few entries that follow a fake store and pull from one another over loopback."""
 
 import asyncio
 import random
@@ -26,11 +26,11 @@
 
 
 class FakeStore:
-    """A store of one object a kind, which counts its calls by kind and can be away."""
+    """A store with one object of each kind that lists its calls by kind and can be unavailable."""
 
     def __init__(self) -> None:
         self.revision = 1
-        self.away = False
+        self.unavailable = False
         self.calls: list[Kind] = []
 
     async def list(self, kind: Kind, may_be_old: bool = False) -> Batch:
@@ -39,8 +39,8 @@
     async def watch(self, kind: Kind, revision: int, wait: float) -> Batch:
         self.calls.append(kind)
         await asyncio.sleep(0.001)
-        if self.away:
-            raise StoreUnavailableError("away")
+        if self.unavailable:
+            raise StoreUnavailableError("unavailable")
         until = asyncio.get_running_loop().time() + wait
         while self.revision <= revision and asyncio.get_running_loop().time() < until:
             await asyncio.sleep(0.005)
@@ -55,32 +55,32 @@
         raise NotImplementedError
 
 
-class Silent:
-    """Sends nothing."""
+class NullSender:
+    """Discards all news, as :class:`GossipSender`."""
 
     def send(self, news: News, addresses: list[tuple[str, int]]) -> None:
         pass
 
 
-def record(number: int, port: int = 0) -> EntryRecord:
+def make_record(number: int, port: int = 0) -> EntryRecord:
     return EntryRecord(f"e-{number}", 1, HOST, "a-1", "a", 80, 81, port)
 
 
 class Member:
-    """One entry's following, with its syncs."""
+    """One entry: how it follows the store, and its copies of the store's objects."""
 
     def __init__(self, number: int, fleet_size: int, store: FakeStore, port: int = 0) -> None:
-        self.me = record(number, port)
-        self.fleet = Fleet(self.me)
+        self.record = make_record(number, port)
+        self.fleet = Fleet(self.record)
         clock = asyncio.get_running_loop().time
         for other in range(1, fleet_size + 1):
-            self.fleet.recorded(record(other))
+            self.fleet.recorded(make_record(other))
             self.fleet.record_seen(SeenEntry(f"e-{other}", 1, False, 0.0), clock())
         self.gossip = Gossip(
-            self.me,
+            self.record,
             self.fleet,
             steering(0).loads,
-            Silent(),
+            NullSender(),
             Counter,
             dict,
             lambda: 0.0,
@@ -105,10 +105,10 @@
                 Replica(kind),
                 Pace(wait=0.05, pause=0.02),
                 random.Random(1),
-                self.following.gate,
-                lambda kind, changes, way: None,
-                self.following.store_answered,
-                self.following.read,
+                self.following.read_delay,
+                lambda kind, changes, source: None,
+                self.following.record_call,
+                self.following.record_read,
                 clock,
             )
             for kind in FOLLOWED
@@ -120,12 +120,12 @@
 
     def news(self, sequence: int) -> News:
         return News(
-            self.me.entry_id,
+            self.record.entry_id,
             1,
             sequence,
             False,
             {},
-            revisions=self.following.significant(),
+            revisions=self.following.significant_revisions(),
             store_age=self.following.store_age(),
         )
 
--- a/tests/gateway/spreading.py
+++ b/tests/gateway/spreading.py
@@ -50,7 +50,7 @@
             steering(0).loads,
             self,
             Counter,
-            lambda: self.following.significant(),
+            lambda: self.following.significant_revisions(),
             lambda: self.following.store_age(),
         )
         self.following = Following(
@@ -71,10 +71,10 @@
                 Replica(kind, essence),
                 world.times.paces[kind],
                 random.Random(seed),
-                self.following.gate,
+                self.following.read_delay,
                 self._changed,
-                self.following.store_answered,
-                self.following.read,
+                self.following.record_call,
+                self.following.record_read,
                 clock,
             )
             for kind in FOLLOWED
@@ -131,7 +131,7 @@
     def received(self, news: News) -> None:
         """Handle the news of another entry."""
         if self.gossip.received(news, asyncio.get_running_loop().time()):
-            self.following.heard(news)
+            self.following.received(news)
 
     def _changed(self, kind: Kind, changes: Sequence[StoredChange], way: Way) -> None:
         now = asyncio.get_running_loop().time()
