--- a/briarspur/gateway/app.py
+++ b/briarspur/gateway/app.py
@@ -29,7 +29,7 @@
 from briarspur.gateway.pool import ConnectionPool
 from briarspur.gateway.pull import PullClient, PullServer
 from briarspur.gateway.readtimes import read_times
-from briarspur.gateway.replica import FOLLOWED, Kind, Replica, StoredChange, Way
+from briarspur.gateway.replica import FOLLOWED, ChangeSource, Kind, Replica, StoredChange
 from briarspur.gateway.requestlog import RequestLog
 from briarspur.gateway.sending import IncomingRequest, Services
 from briarspur.gateway.settings import BoundSettings, GatewaySettings
@@ -250,8 +250,8 @@
     def _configured(self, configuration: Configuration) -> None:
         self.front.limits_changed(configuration.limits)
 
-    def _changed(self, kind: Kind, changes: Sequence[StoredChange], way: Way) -> None:
-        self.applier.changed(kind, changes, way)
+    def _changed(self, kind: Kind, changes: Sequence[StoredChange], source: ChangeSource) -> None:
+        self.applier.changed(kind, changes, source)
 
     def _make_sync(self, kind: Kind) -> Sync:
         return Sync(
--- a/briarspur/gateway/applier.py
+++ b/briarspur/gateway/applier.py
@@ -10,7 +10,7 @@
 from briarspur.gateway.departures import Departures
 from briarspur.gateway.fleet import Fleet
 from briarspur.gateway.histogram import Histogram
-from briarspur.gateway.replica import Kind, StoredChange, Way
+from briarspur.gateway.replica import ChangeSource, Kind, StoredChange
 from briarspur.gateway.steering import Steering
 
 __all__ = ["ChangeApplier"]
@@ -58,7 +58,7 @@
         self.malformed = 0
         self.parts_malformed = 0
 
-    def changed(self, kind: Kind, changes: Sequence[StoredChange], way: Way) -> None:
+    def changed(self, kind: Kind, changes: Sequence[StoredChange], way: ChangeSource) -> None:
         """Take the changes of a kind, which came one way."""
         match kind:
             case Kind.CONFIGURATION:
@@ -112,7 +112,7 @@
             )
         self._on_configuration(configuration)
 
-    def _target(self, change: StoredChange, way: Way) -> None:
+    def _target(self, change: StoredChange, way: ChangeSource) -> None:
         targets, now = self._steering.targets, self._clock()
         if change.value is None:
             unseen = self._unseen()
--- a/briarspur/gateway/following.py
+++ b/briarspur/gateway/following.py
@@ -128,7 +128,7 @@
             return self._poll_delay(now)
         if kind in RARELY_CHANGING and sync.replica.revision > 0 and self._relies_on_first(now):
             return self._poll_delay(now)
-        failing = self.syncs[Kind.TARGETS].failing
+        failing = self.syncs[Kind.TARGETS].is_failing
         if failing and kind is not Kind.TARGETS:
             return MIN_POLL_S
         if failing and not self._gossip.groups.is_reader:
@@ -143,7 +143,7 @@
         if not reachable:
             for other, sync in self.syncs.items():
                 if other is not kind:
-                    sync.doubt()
+                    sync.recheck()
             return
         if kind is Kind.TARGETS:
             self._availability.answered(now, now)
@@ -214,7 +214,7 @@
                 confirmed_s=f"{self.confirmed_age():.3f}",
             )
         entries = self.syncs[Kind.ENTRIES]
-        if entries.replica.revision == 0 and entries.failing:
+        if entries.replica.revision == 0 and entries.is_failing:
             for address in self._seeds:
                 for kind in FOLLOWED:
                     self._start_pull(address, kind)
@@ -260,7 +260,7 @@
         return min(MAX_POLL_S, max(MIN_POLL_S, left))
 
     def _store_answers(self) -> bool:
-        return not self.syncs[Kind.TARGETS].failing and self.store_age() <= self._times.own_read
+        return not self.syncs[Kind.TARGETS].is_failing and self.store_age() <= self._times.own_read
 
     def _start_pull(self, address: Address, kind: Kind) -> None:
         senders = [sender for sender, pulled in self._pulling if pulled is kind]
@@ -278,7 +278,7 @@
         finally:
             self._pulling.discard((address, kind))
         if pulled is not None:
-            sync.take(pulled.batch)
+            sync.apply(pulled.batch)
 
     def _start(self, work: object) -> None:
         task = asyncio.ensure_future(work)  # type: ignore[call-overload]
--- a/briarspur/gateway/replica.py
+++ b/briarspur/gateway/replica.py
@@ -5,7 +5,7 @@
 from enum import Enum, IntEnum
 from typing import Any
 
-__all__ = ["FOLLOWED", "Batch", "Kind", "Replica", "StoredChange", "Way"]
+__all__ = ["FOLLOWED", "Batch", "Kind", "Replica", "StoredChange", "ChangeSource"]
 
 KEPT_DELETIONS = 500
 """Latest deletions that are told to other entries; who is further behind takes the whole copy."""
@@ -25,7 +25,7 @@
 """Kinds whose changes entries must know at once; warmth is read once, at the start."""
 
 
-class Way(Enum):
+class ChangeSource(Enum):
     """How a change reached this entry."""
 
     WATCH = "watch"
--- a/briarspur/gateway/sync.py
+++ b/briarspur/gateway/sync.py
@@ -1,4 +1,4 @@
-"""Keeps a replica up to date from the store."""
+"""Keeps a replica of one kind up to date by listing and watching the store."""
 
 import asyncio
 import logging
@@ -9,41 +9,38 @@
 from briarspur import logs
 from briarspur.coord.errors import StoreError
 from briarspur.gateway.objectsource import HistoryGoneError, ObjectSource
-from briarspur.gateway.replica import Batch, Kind, Replica, StoredChange, Way
+from briarspur.gateway.replica import Batch, ChangeSource, Kind, Replica, StoredChange
 
 __all__ = ["Pace", "Sync"]
 
-FIRST_RETRY = 0.15
-LONGEST_RETRY = 1.0
-"""Seconds between two tries while the store does not answer. Entries must know a change within
-2.5 s of its acknowledgement, also one made just when the store is back."""
+FIRST_RETRY_DELAY_S = 0.15
+MAX_RETRY_DELAY_S = 1.0
+"""Time between two attempts while the store does not answer. Entries must apply a change within
+2.5 s of its acknowledgement, even one made as soon as the store is reachable again."""
+FAILURE_EXPIRY_S = 4.0
+"""Time after which a failed call no longer means that the store does not answer. An entry that
+reads the store calls it at least every 3.3 s, so an older failure is that of an entry that doesn't
+read any more. Without the expiry, an entry that lost the store in a network partition and then left
+reading to others considered the store failing for as long as it ran."""
+WATCH_GAP_S = 0.5
+"""Time for which a finished watch counts as open, since the next one follows after the pause."""
 
 
-FAILURE_BELIEVED = 4.0
-"""Seconds for which a failed call tells that the store does not answer. Whoever still asks does so
-every 3.3 s at the latest, so a belief that is older is that of an entry which asks no more: it lost
-the store in a cut, left reading to others, and took the store as failing for as long as it ran."""
-
-
-class _DoubtError(Exception):
-    """The call was given up because the store may be silent."""
-
-
-JUST_ENDED = 0.5
-"""Seconds for which a watch that ended counts as open: the next one follows within the pause."""
+class _RecheckError(Exception):
+    """The call was cancelled by :meth:`Sync.recheck`, since the store may not answer it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """How often the store is asked; seconds.
+    """Timing of the calls to the store, in seconds.
 
     Attributes
     ----------
     wait : float
-        How long one watch may wait for a change.
+        Maximum time for which a watch waits for a change.
     pause : float
-        Time between two watches. A kind that changes all the time is read in batches then, since
-        every call to the store is paid for.
+        Time between two watches. With a pause, a kind that changes all the time is read in batches,
+        since every call to the store is charged for.
     """
 
     wait: float
@@ -51,18 +48,18 @@
 
 
 class Sync:
-    """Follows one kind.
+    """Follows the objects of one kind.
 
     Parameters
     ----------
-    gate : callable
-        Returns 0 if the store may be asked, else the seconds until it is looked at again.
+    read_delay : callable
+        Returns 0 if the store may be read, else the seconds until the next check.
     on_changes : callable
-        Takes the changes that are news, and the way they came.
+        Called with the changes that the replica lacked, and their source.
     on_reachable : callable
-        Told whether the store answered the last call, before its answer is taken.
+        Called with whether the store answered the last call, before its answer is applied.
     on_current : callable
-        Told that all changes up to a moment have been taken.
+        Called with a time up to which all changes have been applied.
     """
 
     def __init__(
@@ -71,8 +68,8 @@
         replica: Replica,
         pace: Pace,
         rng: random.Random,
-        gate: Callable[[Kind], float],
-        on_changes: Callable[[Kind, Sequence[StoredChange], Way], None],
+        read_delay: Callable[[Kind], float],
+        on_changes: Callable[[Kind, Sequence[StoredChange], ChangeSource], None],
         on_reachable: Callable[[Kind, bool], None],
         on_current: Callable[[Kind, float], None],
         clock: Callable[[], float],
@@ -81,7 +78,7 @@
         self.replica = replica
         self._pace = pace
         self._rng = rng
-        self._gate = gate
+        self._read_delay = read_delay
         self._on_changes = on_changes
         self._on_reachable = on_reachable
         self._on_current = on_current
@@ -90,80 +87,82 @@
         self._failed_at = float("-inf")
         self._lost_at: float | None = None
         self.current_at = float("-inf")
-        # The last answer names everything up to here. Its arrival says less: a busy process reads
-        # it late, and others took its knowledge for 1.2 s younger than it was.
+        # Time up to which the last answer includes all changes. The time at which it is read can't
+        # be used: a busy process reads it late, and others took its copies for 1.2 s more recent
+        # than they were.
         self._as_of = float("-inf")
         self._call: asyncio.Task[Batch] | None = None
         self.answered_calls = 0
         self.failed_calls = 0
-        self._doubted = False
-        self._listed = False
+        self._rechecking = False
+        self._was_list = False
 
     @property
-    def failing(self) -> bool:
-        """Whether the store did not answer the last call, and that was lately."""
-        return self._failures > 0 and self._clock() - self._failed_at <= FAILURE_BELIEVED
+    def is_failing(self) -> bool:
+        """Whether the store did not answer the last call, and the call was recent."""
+        return self._failures > 0 and self._clock() - self._failed_at <= FAILURE_EXPIRY_S
 
     def is_current(self, now: float) -> bool:
-        """Return whether a change would be known by now: a watch is open, or just ended."""
-        if self.failing or self.replica.revision == 0:
+        """Return whether changes arrive at once: a watch is open, or ended a moment ago."""
+        if self.is_failing or self.replica.revision == 0:
             return False
-        return self._call is not None or now - self.current_at <= JUST_ENDED
+        return self._call is not None or now - self.current_at <= WATCH_GAP_S
 
     async def run(self) -> None:
         """Follow until cancelled."""
         listing = answered = False
         while True:
-            pause = 0.0 if answered else self._gate(self.replica.kind)
+            pause = 0.0 if answered else self._read_delay(self.replica.kind)
             answered = False
             if pause > 0.0:
                 await asyncio.sleep(pause)
                 continue
             listing = listing or self.replica.revision == 0
             try:
-                batch = await self._interruptible(listing)
-            except _DoubtError:
+                batch = await self._call_store(listing)
+            except _RecheckError:
                 continue
             except HistoryGoneError:
-                # The store answers, so the list is asked for at once: an entry that had been cut
-                # off from it waited for 1 s more here, and up to 2 s by its pauses.
+                # The store answers, so list at once. With a wait here, an entry that had been cut
+                # off from the store was late by 1 s more, and by up to 2 s with its retry delays.
                 logs.event("history-gone", kind=self.replica.kind.name)
                 listing = answered = True
                 continue
             except StoreError as error:
-                self._failed(error)
-                await asyncio.sleep(self._retry_pause())
+                self._record_failure(error)
+                await asyncio.sleep(self._retry_delay())
                 continue
-            way = Way.LIST if listing else Way.WATCH
+            source = ChangeSource.LIST if listing else ChangeSource.WATCH
             listing = False
-            self._succeeded()
-            self.take(batch, way)
+            self._record_success()
+            self.apply(batch, source)
             self._on_current(self.replica.kind, self._as_of)
-            self._listed = way is Way.LIST and self._pace.pause > 0.0
-            if self._pace.pause and not self._listed:
+            self._was_list = source is ChangeSource.LIST and self._pace.pause > 0.0
+            if self._pace.pause and not self._was_list:
                 await asyncio.sleep(self._pace.pause)
 
-    def take(self, batch: Batch, way: Way = Way.PULL) -> None:
-        """Take a batch, from the store or from another entry."""
-        news = self.replica.apply(batch)
-        if news:
-            self._on_changes(self.replica.kind, news, way)
+    def apply(self, batch: Batch, source: ChangeSource = ChangeSource.PULL) -> None:
+        """Apply a batch from the store or from another entry."""
+        applied = self.replica.apply(batch)
+        if applied:
+            self._on_changes(self.replica.kind, applied, source)
 
-    def doubt(self) -> None:
-        """Ask the store again at once instead of waiting for a watch that may hang.
+    def recheck(self) -> None:
+        """Cancel a watch that may hang, and call the store again at once.
 
-        A store that falls silent answers no open watch, also not when it is back: a change made
-        then would be learnt only when the watch times out, seconds late. Another kind's failure is
-        the first sign, so every other watch is given up and asked again until one is answered.
+        A store that stops responding never answers the watches that are open, not even once it is
+        reachable again: a change made then would be received only when the watch times out, seconds
+        late. The failed call of another kind is the first sign, so every other watch is cancelled
+        and repeated until one is answered.
         """
-        if not self._doubted and self._failures == 0:
-            self._doubted = True
+        if not self._rechecking and self._failures == 0:
+            self._rechecking = True
             if self._call is not None:
                 self._call.cancel()
 
-    async def _interruptible(self, listing: bool) -> Batch:
-        """Make the next call; it may be given up by :meth:`doubt`."""
-        self._call = asyncio.ensure_future(self._next(listing))
+    async def _call_store(self, listing: bool) -> Batch:
+        """Make the next call; :meth:`recheck` may cancel it."""
+        self._call = asyncio.ensure_future(self._read(listing))
         try:
             return await self._call
         except asyncio.CancelledError:
@@ -171,27 +170,28 @@
             if not self._call.cancelled() or (task is not None and task.cancelling()):
                 self._call.cancel()
                 raise
-            raise _DoubtError from None
+            raise _RecheckError from None
         finally:
             self._call = None
 
-    async def _next(self, listing: bool) -> Batch:
-        asked_at = self._clock()
+    async def _read(self, listing: bool) -> Batch:
+        requested_at = self._clock()
         if listing:
             batch = await self._source.list(self.replica.kind)
-            self._as_of = asked_at
+            self._as_of = requested_at
             return batch
-        # While the store is in doubt a watch must not wait: it would hide whether it answers.
-        # What a list tells is as old as its question, which a long one leaves behind by a second.
-        wait = 0.0 if self._doubted or self._failures or self._listed else self._pace.wait
+        # While the store may be unreachable, a watch must not wait: waiting would hide whether the
+        # store answers. After a list, it must not wait either: the list includes only the changes
+        # made before its request, and a long one takes a second.
+        wait = 0.0 if self._rechecking or self._failures or self._was_list else self._pace.wait
         batch = await self._source.watch(self.replica.kind, self.replica.revision, wait)
-        # A watch without a change is answered at the end of its wait, one with a change any time.
-        # One that ends early without a change may have been cut off as soon as it was asked.
-        waited = not batch.changes and self._clock() - asked_at >= wait
-        self._as_of = asked_at + wait if waited else asked_at
+        # A watch without a change is answered at the end of its wait, one with a change at any
+        # time. One that ends early without a change may have been cut off right after its request.
+        waited = not batch.changes and self._clock() - requested_at >= wait
+        self._as_of = requested_at + wait if waited else requested_at
         return batch
 
-    def _failed(self, error: StoreError) -> None:
+    def _record_failure(self, error: StoreError) -> None:
         self._failures += 1
         self._failed_at = self._clock()
         self.failed_calls += 1
@@ -200,10 +200,10 @@
             logs.event("store-lost", logging.WARNING, kind=self.replica.kind.name, error=str(error))
         self._on_reachable(self.replica.kind, False)
 
-    def _succeeded(self) -> None:
+    def _record_success(self) -> None:
         self.answered_calls += 1
         self._failures = 0
-        self._doubted = False
+        self._rechecking = False
         self.current_at = self._clock()
         if self._lost_at is not None:
             away = self._clock() - self._lost_at
@@ -211,6 +211,6 @@
             self._lost_at = None
         self._on_reachable(self.replica.kind, True)
 
-    def _retry_pause(self) -> float:
-        pause = min(LONGEST_RETRY, FIRST_RETRY * 2.0 ** (self._failures - 1))
-        return pause * self._rng.uniform(0.7, 1.0)
+    def _retry_delay(self) -> float:
+        delay = min(MAX_RETRY_DELAY_S, FIRST_RETRY_DELAY_S * 2.0 ** (self._failures - 1))
+        return delay * self._rng.uniform(0.7, 1.0)
--- a/tests/gateway/spreading.py
+++ b/tests/gateway/spreading.py
@@ -21,7 +21,7 @@
 from briarspur.gateway.pull import TIMEOUT as PULL_TIMEOUT
 from briarspur.gateway.pull import Pulled
 from briarspur.gateway.readtimes import read_times
-from briarspur.gateway.replica import FOLLOWED, Kind, Replica, StoredChange, Way
+from briarspur.gateway.replica import FOLLOWED, ChangeSource, Kind, Replica, StoredChange
 from briarspur.gateway.sync import Sync
 from tests.gateway.playedstore import WAY, Connections, Net, Source, Store, essence
 from tests.gateway.samples import steering
@@ -133,7 +133,7 @@
         if self.gossip.received(news, asyncio.get_running_loop().time()):
             self.following.received(news)
 
-    def _changed(self, kind: Kind, changes: Sequence[StoredChange], way: Way) -> None:
+    def _changed(self, kind: Kind, changes: Sequence[StoredChange], source: ChangeSource) -> None:
         now = asyncio.get_running_loop().time()
         for change in changes:
             is_leaving = change.value is None or change.value.get("state") == "draining"
--- a/tests/gateway/test_applier.py
+++ b/tests/gateway/test_applier.py
@@ -12,7 +12,7 @@
 from briarspur.gateway.fleet import Fleet
 from briarspur.gateway.loadview import SeenEntry
 from briarspur.gateway.outcome import Outcome
-from briarspur.gateway.replica import Kind, StoredChange, Way
+from briarspur.gateway.replica import ChangeSource, Kind, StoredChange
 from briarspur.gateway.work import Attempt, Bounds, Refused
 from briarspur.platform.gateway import PlatformCodec
 from tests.gateway.samples import arrival, begun, sent, steering
@@ -51,7 +51,9 @@
             "state": "ready",
             **changes,
         }
-        self.applier.changed(Kind.TARGETS, [StoredChange(name, revision, value)], Way.WATCH)
+        self.applier.changed(
+            Kind.TARGETS, [StoredChange(name, revision, value)], ChangeSource.WATCH
+        )
 
     def test_a_registration_that_cant_be_read_names_no_target(self) -> None:
         self.target("good", 1)
@@ -64,7 +66,9 @@
     def test_an_older_or_unreadable_configuration_is_not_taken(self) -> None:
         self.assertEqual(1, self.steering.version)
         for value in ({"version": 9}, {"version": 1, "resourceList": []}, "text"):
-            self.applier.changed(Kind.CONFIGURATION, [StoredChange("main", 5, value)], Way.WATCH)
+            self.applier.changed(
+                Kind.CONFIGURATION, [StoredChange("main", 5, value)], ChangeSource.WATCH
+            )
         self.assertEqual(1, self.steering.version)
 
     def test_a_part_that_cant_be_read_takes_no_other_along(self) -> None:
@@ -86,7 +90,9 @@
         ]
         value = {"version": 4, "resourceList": parts}
         with self.assertLogs(level="WARNING") as logged:
-            self.applier.changed(Kind.CONFIGURATION, [StoredChange("main", 5, value)], Way.WATCH)
+            self.applier.changed(
+                Kind.CONFIGURATION, [StoredChange("main", 5, value)], ChangeSource.WATCH
+            )
         self.assertIn("configuration-part-malformed", "".join(logged.output))
         self.assertEqual((4, 1), (self.steering.version, self.applier.parts_malformed))
         begun(self.steering, path="/fares/x")
@@ -98,7 +104,9 @@
     def test_a_configuration_without_any_usable_route_leaves_the_last_one_in_force(self) -> None:
         bad = {"entryKind": "routes", "metadata": {"name": "bad"}, "spec": {}}
         value = {"version": 4, "resourceList": [bad]}
-        self.applier.changed(Kind.CONFIGURATION, [StoredChange("main", 5, value)], Way.WATCH)
+        self.applier.changed(
+            Kind.CONFIGURATION, [StoredChange("main", 5, value)], ChangeSource.WATCH
+        )
         self.assertEqual((1, 1), (self.steering.version, self.applier.malformed))
 
     def test_retries_are_shared_with_entries_that_are_silent(self) -> None:
@@ -109,7 +117,9 @@
         """
         for number in range(24):
             value = entry_value()
-            self.applier.changed(Kind.ENTRIES, [StoredChange(f"e-{number}", 1, value)], Way.WATCH)
+            self.applier.changed(
+                Kind.ENTRIES, [StoredChange(f"e-{number}", 1, value)], ChangeSource.WATCH
+            )
         self.fleet.record_seen(SeenEntry("e-1", 1, False, 0.0), 0.0)
         self.steering.entries_changed(self.fleet.entry_ids(0.0))
         for number in range(9):
@@ -146,7 +156,7 @@
         gone = [StoredChange("ends", 3, None), StoredChange("drains", 4, None)]
         self.assertEqual(
             [("ends", "pull", "0.700")],
-            self.departures(lambda: self.applier.changed(Kind.TARGETS, gone, Way.PULL)),
+            self.departures(lambda: self.applier.changed(Kind.TARGETS, gone, ChangeSource.PULL)),
         )
         self.assertEqual(1, sum(self.applier.departure_ages["pull"].counts))
 
@@ -159,7 +169,8 @@
         self.availability.answered(self.now, self.now)
         gone = [StoredChange("ends", 3, None)]
         self.assertEqual(
-            [], self.departures(lambda: self.applier.changed(Kind.TARGETS, gone, Way.WATCH))
+            [],
+            self.departures(lambda: self.applier.changed(Kind.TARGETS, gone, ChangeSource.WATCH)),
         )
         self.now += RETURN_TIME
         self.assertEqual([("ends", "hold", "2.900")], self.departures(self.applier.tick))
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -37,7 +37,7 @@
             for task in member.tasks:
                 task.cancel()
         draining = StoredChange("t-2", 170, {"state": "draining"})
-        reader.syncs[Kind.TARGETS].take(Batch(190, (draining,)))
+        reader.syncs[Kind.TARGETS].apply(Batch(190, (draining,)))
         return reader, other
 
     def test_a_change_that_cant_be_pulled_is_read_from_the_store(self) -> None:
@@ -81,10 +81,10 @@
                 await member.close()
             self.assertEqual(0.0, follower.following.read_delay(Kind.ENTRIES))
             self.assertGreater(follower.following.read_delay(Kind.CONFIGURATION), 0.0)
-            follower.syncs[Kind.ENTRIES].take(Batch(1, (StoredChange("e-1", 1, {}),), True))
+            follower.syncs[Kind.ENTRIES].apply(Batch(1, (StoredChange("e-1", 1, {}),), True))
             self.assertEqual(0.0, follower.following.read_delay(Kind.CONFIGURATION))
             self.assertEqual(0.0, follower.following.read_delay(Kind.TARGETS))
-            follower.syncs[Kind.TARGETS].take(Batch(1, (StoredChange("t-1", 1, {}),), True))
+            follower.syncs[Kind.TARGETS].apply(Batch(1, (StoredChange("t-1", 1, {}),), True))
             self.assertGreater(follower.following.read_delay(Kind.TARGETS), 0.0)
 
         self.run_on_loop(work())
@@ -104,7 +104,7 @@
             for task in reader.tasks:
                 task.cancel()
             for sync in reader.syncs.values():
-                sync.take(Batch(3, (StoredChange("main", 3, {"n": 3}),)))
+                sync.apply(Batch(3, (StoredChange("main", 3, {"n": 3}),)))
             store.calls.clear()
             other.following.received(reader.news(50))
             await eventually(lambda: all(s.replica.revision == 3 for s in other.syncs.values()))
@@ -136,8 +136,8 @@
                 for task in member.tasks:
                     task.cancel()
             renewed = StoredChange("t-1", 180, {"state": "cold"})
-            other.syncs[Kind.TARGETS].take(Batch(160, (renewed,)))
-            reader.syncs[Kind.TARGETS].take(
+            other.syncs[Kind.TARGETS].apply(Batch(160, (renewed,)))
+            reader.syncs[Kind.TARGETS].apply(
                 Batch(190, (StoredChange("t-2", 170, {"state": "draining"}),))
             )
             other.following.received(reader.news(60))
@@ -200,7 +200,7 @@
             following.received(reader.news(60))
             await asyncio.sleep(0.1)
             self.assertLess(other.syncs[Kind.TARGETS].replica.revision, 190, "it reads the store")
-            other.syncs[Kind.TARGETS]._failed(StoreUnavailableError("cut off"))
+            other.syncs[Kind.TARGETS]._record_failure(StoreUnavailableError("cut off"))
             following.received(reader.news(61))
             await eventually(lambda: other.syncs[Kind.TARGETS].replica.revision == 190)
             await other.close()
@@ -220,7 +220,7 @@
             following = other.following
             following._started_at = following._confirmed_at = following._clock() - 10.0
             following._read_at = following._clock() - OWN_READ - 0.1
-            self.assertFalse(other.syncs[Kind.TARGETS].failing)
+            self.assertFalse(other.syncs[Kind.TARGETS].is_failing)
             following.received(reader.news(60))
             await eventually(lambda: other.syncs[Kind.TARGETS].replica.revision == 190)
             await other.close()
@@ -299,7 +299,7 @@
                 await member.close()
             await eventually(lambda: all(s.replica.revision for s in reader.syncs.values()))
             store.unavailable = True
-            await eventually(lambda: reader.syncs[Kind.TARGETS].failing)
+            await eventually(lambda: reader.syncs[Kind.TARGETS].is_failing)
             await asyncio.sleep(0.2)
             store.calls.clear()
             await asyncio.sleep(0.5)
--- a/tests/gateway/test_sync.py
+++ b/tests/gateway/test_sync.py
@@ -1,4 +1,4 @@
-"""Tests of following the store."""
+"""Tests of keeping a replica up to date from the store."""
 
 import asyncio
 import random
@@ -7,13 +7,13 @@
 
 from briarspur.coord.errors import StoreUnavailableError
 from briarspur.gateway.objectsource import HistoryGoneError
-from briarspur.gateway.replica import Batch, Kind, Replica, StoredChange, Way
-from briarspur.gateway.sync import FAILURE_BELIEVED, Pace, Sync
+from briarspur.gateway.replica import Batch, ChangeSource, Kind, Replica, StoredChange
+from briarspur.gateway.sync import FAILURE_EXPIRY_S, Pace, Sync
 from tests.loop import LoopTestCase, eventually
 
 
 class FakeSource:
-    """A store whose calls are answered by the test, in order."""
+    """A store whose answers the test supplies in order."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, float]] = []
@@ -41,7 +41,7 @@
 
 
 class SyncTest(LoopTestCase):
-    """What a replica learns, and when."""
+    """Test which calls are made to the store, and what their answers change."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -49,7 +49,9 @@
         self.reachable: list[bool] = []
 
     def make(self, source: FakeSource) -> Sync:
-        def take(kind: Kind, changes: Sequence[StoredChange], way: Way) -> None:
+        def record_changes(
+            kind: Kind, changes: Sequence[StoredChange], source: ChangeSource
+        ) -> None:
             self.changes.extend(changes)
 
         return Sync(
@@ -58,17 +60,17 @@
             Pace(wait=4.0, pause=0.0),
             random.Random(1),
             lambda kind: 0.0,
-            take,
+            record_changes,
             lambda kind, reachable: self.reachable.append(reachable),
             lambda kind, as_of: None,
             asyncio.get_running_loop().time,
         )
 
-    def test_a_hanging_watch_is_given_up_when_the_store_is_doubted(self) -> None:
-        """The store is silent for some seconds, returns, and the configuration changes.
+    def test_a_recheck_cancels_a_hanging_watch(self) -> None:
+        """Guard against a late configuration when it changes right after an outage of the store.
 
-        A watch sent before the outage is never answered. Entries learnt the new version only when
-        that watch timed out, 2.6 s after its acknowledgement, and routed by the old one till then.
+        A watch sent before the outage is never answered. Entries received the new version only when
+        that watch timed out, 2.6 s after its acknowledgement, and routed by the old one until then.
         """
 
         async def work() -> None:
@@ -78,7 +80,7 @@
             source.answers.put_nowait(Batch(5, (StoredChange("main", 4, {"version": 1}),), True))
             await eventually(lambda: len(source.calls) == 2)
             self.assertEqual(("watch", 4.0), source.calls[1])
-            sync.doubt()
+            sync.recheck()
             await eventually(lambda: len(source.calls) == 3)
             self.assertEqual(("watch", 0.0), source.calls[2])
             source.answers.put_nowait(Batch(9, (StoredChange("main", 9, {"version": 2}),)))
@@ -106,11 +108,12 @@
 
         self.run_on_loop(work())
 
-    def test_the_list_after_a_lost_history_does_not_wait_for_the_gate(self) -> None:
-        """An entry that was cut off for 10 s sends to servers that left meanwhile, 5 s after.
+    def test_the_list_after_a_lost_history_does_not_wait_for_the_read_delay(self) -> None:
+        """Guard against requests to departed servers after a partition between entry and store.
 
-        Its first call that got through was told that the history is gone. The list had to wait for
-        the next turn of the pauses that spare a store in an outage.
+        An entry that had been cut off for 10 s still sent requests 5 s later to servers that had
+        left in that time. The first call that reached the store failed because the history was
+        gone, and the list had to wait for the next of the delays that limit calls in an outage.
         """
 
         async def work() -> None:
@@ -119,7 +122,7 @@
             task = asyncio.ensure_future(sync.run())
             source.answers.put_nowait(Batch(5, (), True))
             await eventually(lambda: len(source.calls) == 2)
-            sync._gate = lambda kind: 60.0
+            sync._read_delay = lambda kind: 60.0
             source.answers.put_nowait(HistoryGoneError("gone"))
             source.answers.put_nowait(Batch(8, (StoredChange("b", 7, {}),), True))
             await eventually(lambda: sync.replica.revision == 8)
@@ -127,7 +130,7 @@
 
         self.run_on_loop(work())
 
-    def test_an_outage_is_told_and_its_end_too(self) -> None:
+    def test_the_start_and_end_of_an_outage_are_reported(self) -> None:
         async def work() -> None:
             source = FakeSource()
             task = asyncio.ensure_future(self.make(source).run())
@@ -139,11 +142,11 @@
 
         self.run_on_loop(work())
 
-    def test_an_old_failure_is_no_belief_about_the_store(self) -> None:
-        """An entry loses the store in a cut, and then leaves reading to others.
+    def test_an_old_failure_does_not_count_as_failing(self) -> None:
+        """Guard against an entry that considers the store failing long after a partition.
 
-        It never called the store again, so its last call remained a failure. It went on as an entry
-        that the store does not answer, long after the cut.
+        The entry lost the store in the partition and then left reading to others. It never called
+        the store again, so its last call remained a failure.
         """
 
         async def work() -> None:
@@ -151,20 +154,21 @@
             sync = self.make(source)
             task = asyncio.ensure_future(sync.run())
             source.answers.put_nowait(StoreUnavailableError("cut off"))
-            await eventually(lambda: sync.failing)
-            sync._gate = lambda kind: 60.0
+            await eventually(lambda: sync.is_failing)
+            sync._read_delay = lambda kind: 60.0
             now = asyncio.get_running_loop().time()
-            sync._clock = lambda: now + FAILURE_BELIEVED + 0.1
-            self.assertFalse(sync.failing)
+            sync._clock = lambda: now + FAILURE_EXPIRY_S + 0.1
+            self.assertFalse(sync.is_failing)
             task.cancel()
 
         self.run_on_loop(work())
 
-    def test_an_answer_is_as_old_as_its_question(self) -> None:
-        """A busy reader reads the store's answer long after it came, and tells others of it.
+    def test_an_answer_is_as_old_as_its_request(self) -> None:
+        """Guard against copies that others rely on for too long.
 
-        They took its knowledge for as fresh as its reading, and relied on it too long: a server
-        that had left got requests meanwhile. A watch without a change is answered after its wait.
+        A busy reader read the store's answer long after it arrived, and advertised its copies as
+        being as recent as that reading: a server that had left got requests meanwhile. A watch
+        without a change is answered after its wait.
         """
 
         async def work() -> None:
@@ -172,8 +176,8 @@
             now = 100.0
             sync = self.make(source)
             sync._clock = lambda: now
-            moments: list[float] = []
-            sync._on_current = lambda kind, as_of: moments.append(as_of)
+            times: list[float] = []
+            sync._on_current = lambda kind, as_of: times.append(as_of)
             task = asyncio.ensure_future(sync.run())
             await eventually(lambda: len(source.calls) == 1)
             for batch in (
@@ -182,12 +186,12 @@
                 Batch(6, ()),
                 Batch(6, ()),
             ):
-                # The last watch is answered as soon as it was asked: it was cut off.
+                # The last watch is answered right after its request: it was cut off.
                 now += 10.0 if len(source.calls) < 4 else 1.0
                 source.answers.put_nowait(batch)
                 calls = len(source.calls)
                 await eventually(lambda calls=calls: len(source.calls) > calls)  # type: ignore[misc]
-            self.assertEqual([100.0, 110.0, 120.0 + 4.0, 130.0], moments)
+            self.assertEqual([100.0, 110.0, 120.0 + 4.0, 130.0], times)
             task.cancel()
 
         self.run_on_loop(work())
