--- a/briarspur/gateway/following.py
+++ b/briarspur/gateway/following.py
@@ -107,7 +107,7 @@
 
     def significant_revisions(self) -> dict[Kind, int]:
         """Return the latest significant revision of each kind."""
-        return {kind: sync.replica.significant for kind, sync in self.syncs.items()}
+        return {kind: sync.replica.significant_revision for kind, sync in self.syncs.items()}
 
     def read_delay(self, kind: Kind) -> float:
         """Return 0 if a kind may be read from the store, else the seconds until the next check."""
--- a/briarspur/gateway/replica.py
+++ b/briarspur/gateway/replica.py
@@ -1,4 +1,4 @@
-"""A copy of one kind of the store's objects, which only moves forward."""
+"""A copy of the store's objects of one kind, whose objects never return to older revisions."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,12 +7,12 @@
 
 __all__ = ["FOLLOWED", "Batch", "Kind", "Replica", "StoredChange", "ChangeSource"]
 
-KEPT_DELETIONS = 500
-"""Latest deletions that are told to other entries; who is further behind takes the whole copy."""
+MAX_DELETIONS = 500
+"""Latest deletions kept for other entries; an entry that is further behind gets the whole copy."""
 
 
 class Kind(IntEnum):
-    """What entries keep or read in the store; the numbers travel between entries."""
+    """Kinds of objects that entries read or write in the store; entries exchange the numbers."""
 
     CONFIGURATION = 1
     TARGETS = 2
@@ -22,7 +22,7 @@
 
 
 FOLLOWED = (Kind.CONFIGURATION, Kind.TARGETS, Kind.EVACUATIONS, Kind.ENTRIES)
-"""Kinds whose changes entries must know at once; warmth is read once, at the start."""
+"""Kinds whose changes entries must receive at once; warmth is read only at the start."""
 
 
 class ChangeSource(Enum):
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredChange:
-    """One object at one revision; ``value`` is None once it was deleted."""
+    """One object at one revision; ``value`` is None if it was deleted."""
 
     name: str
     revision: int
@@ -44,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """What changed up to a revision.
+    """Changes up to a revision.
 
     Attributes
     ----------
     whole : bool
-        All objects are named, so what is not named does not exist.
+        Whether all objects are included, so that any other object doesn't exist.
     """
 
     revision: int
@@ -60,72 +60,76 @@
 class Replica:
     """Objects of one kind by name.
 
-    Batches may come from the store and from other entries, late, twice and in any order. A change
-    counts only if its revision is above the object's, so nothing ever goes back.
+    Batches may arrive from the store and from other entries, late, more than once and in any order.
+    A change is applied only if its revision is above that of the object, so no object returns to an
+    older revision.
 
     Parameters
     ----------
-    essence : callable
-        Returns the part of a value that matters to entries. A renewal that changes nothing else
-        isn't told to others: of 136 registrations renewed per second nearly all are of that sort.
+    significant_part : callable
+        Returns the part of a value that matters to entries. A change outside this part, such as a
+        renewal, isn't advertised to other entries: of 136 registrations renewed per second, nearly
+        all change nothing else.
 
     Attributes
     ----------
     revision : int
-        Everything up to here is known; 0 if nothing is.
-    significant : int
-        The latest revision at which something that matters changed.
+        The revision up to which all changes were applied; 0 if there were none.
+    significant_revision : int
+        The latest revision at which the significant part of an object changed.
     """
 
-    def __init__(self, kind: Kind, essence: Callable[[Any], Any] = lambda value: value) -> None:
+    def __init__(
+        self, kind: Kind, significant_part: Callable[[Any], Any] = lambda value: value
+    ) -> None:
         self.kind = kind
-        self._essence = essence
+        self._significant_part = significant_part
         self.revision = 0
-        self.significant = 0
-        self._significant_by_name: dict[str, int] = {}
+        self.significant_revision = 0
+        self._significant_revisions: dict[str, int] = {}
         self._by_name: dict[str, StoredChange] = {}
         self._deleted: dict[str, StoredChange] = {}
-        self._deletions_known_from = 0
+        self._deletions_kept_since = 0
 
     def apply(self, batch: Batch) -> list[StoredChange]:
-        """Take a batch; return the changes that are news here."""
+        """Apply a batch; return the changes that this replica lacked."""
         if batch.whole and batch.revision < self.revision:
             return []
-        news = [change for change in batch.changes if self._take(change)]
+        applied = [change for change in batch.changes if self._apply_change(change)]
         if batch.whole:
-            named = {change.name for change in batch.changes}
-            for name in [name for name in self._by_name if name not in named]:
+            names = {change.name for change in batch.changes}
+            for name in [name for name in self._by_name if name not in names]:
                 change = StoredChange(name, batch.revision, None)
-                if self._take(change):
-                    news.append(change)
+                if self._apply_change(change):
+                    applied.append(change)
         self.revision = max(self.revision, batch.revision)
-        return news
+        return applied
 
     def get(self, name: str) -> StoredChange | None:
-        """Return an object that exists."""
+        """Return an object, or None if it doesn't exist."""
         return self._by_name.get(name)
 
     def newer_than(self, revision: int) -> Batch:
-        """Return what another entry lacks that knows everything up to ``revision``."""
-        if revision < self._deletions_known_from or revision == 0:
+        """Return the changes that a replica complete up to ``revision`` lacks."""
+        if revision < self._deletions_kept_since or revision == 0:
             return Batch(self.revision, tuple(self._by_name.values()), whole=True)
         changes = [
             change
             for name, change in self._by_name.items()
-            if self._significant_by_name[name] > revision
+            if self._significant_revisions[name] > revision
         ]
         changes += [c for c in self._deleted.values() if c.revision > revision]
         return Batch(self.revision, tuple(sorted(changes, key=lambda change: change.revision)))
 
-    def _take(self, change: StoredChange) -> bool:
+    def _apply_change(self, change: StoredChange) -> bool:
         known = self._by_name.get(change.name) or self._deleted.get(change.name)
         if change.value is None:
             if known is not None and (known.value is None or change.revision < known.revision):
                 return False
             self._by_name.pop(change.name, None)
-            self._significant_by_name.pop(change.name, None)
-            self._keep_deletion(change)
-            self.significant = max(self.significant, change.revision)
+            self._significant_revisions.pop(change.name, None)
+            self._record_deletion(change)
+            self.significant_revision = max(self.significant_revision, change.revision)
             return known is not None
         if known is not None and change.revision <= known.revision:
             return False
@@ -134,16 +138,16 @@
         if (
             known is None
             or known.value is None
-            or self._essence(known.value) != self._essence(change.value)
+            or self._significant_part(known.value) != self._significant_part(change.value)
         ):
-            self._significant_by_name[change.name] = change.revision
-            self.significant = max(self.significant, change.revision)
+            self._significant_revisions[change.name] = change.revision
+            self.significant_revision = max(self.significant_revision, change.revision)
         return True
 
-    def _keep_deletion(self, change: StoredChange) -> None:
+    def _record_deletion(self, change: StoredChange) -> None:
         self._deleted.pop(change.name, None)
         self._deleted[change.name] = change
-        if len(self._deleted) > KEPT_DELETIONS:
+        if len(self._deleted) > MAX_DELETIONS:
             oldest = next(iter(self._deleted))
             dropped = self._deleted.pop(oldest)
-            self._deletions_known_from = max(self._deletions_known_from, dropped.revision)
+            self._deletions_kept_since = max(self._deletions_kept_since, dropped.revision)
--- a/tests/gateway/test_replica.py
+++ b/tests/gateway/test_replica.py
@@ -1,4 +1,4 @@
-"""Tests of the copy of the store's objects."""
+"""Tests of the copies of the store's objects."""
 
 import unittest
 
@@ -15,26 +15,26 @@
 
 
 class ReplicaTest(unittest.TestCase):
-    """Nothing goes back, whatever arrives in which order."""
+    """No object returns to an older revision, whatever the order of the batches."""
 
     def test_an_older_whole_copy_removes_nothing(self) -> None:
-        """An entry takes a slow peer's copy after it has seen later changes itself.
+        """Guard against the loss of a server when a slow peer's copy arrives after later changes.
 
-        The copy does not name a server that registered since. Taken as the truth, it would send
-        that server's requests elsewhere until the next registration.
+        The copy does not include a server that has registered since. If it were applied, that
+        server would get no requests until its next registration.
         """
         replica = Replica(Kind.TARGETS)
         replica.apply(Batch(9, (change("new", 9),), whole=True))
         self.assertEqual([], replica.apply(Batch(5, (change("old", 3),), whole=True)))
         self.assertEqual(("new",), tuple(c.name for c in replica.newer_than(0).changes))
 
-    def test_a_whole_copy_tells_of_what_is_gone(self) -> None:
+    def test_a_whole_copy_deletes_the_objects_it_lacks(self) -> None:
         replica = Replica(Kind.TARGETS)
         replica.apply(Batch(2, (change("a", 1), change("b", 2)), whole=True))
-        news = replica.apply(Batch(7, (change("b", 2),), whole=True))
-        self.assertEqual([("a", None)], [(c.name, c.value) for c in news])
+        applied = replica.apply(Batch(7, (change("b", 2),), whole=True))
+        self.assertEqual([("a", None)], [(c.name, c.value) for c in applied])
 
-    def test_an_object_made_again_counts(self) -> None:
+    def test_an_object_created_again_is_applied(self) -> None:
         replica = Replica(Kind.EVACUATIONS)
         replica.apply(Batch(4, (change("zone", 4),)))
         replica.apply(Batch(6, (change("zone", 5, deleted=True),)))
