--- a/tests/gateway/spreading.py
+++ b/tests/gateway/spreading.py
@@ -18,8 +18,7 @@
 from briarspur.gateway.following import Following
 from briarspur.gateway.gossip import Gossip
 from briarspur.gateway.loadview import News
-from briarspur.gateway.pull import TIMEOUT as PULL_TIMEOUT
-from briarspur.gateway.pull import Pulled
+from briarspur.gateway.pull import PULL_TIMEOUT_S, PullResult
 from briarspur.gateway.readtimes import read_times
 from briarspur.gateway.replica import FOLLOWED, ChangeSource, Kind, Replica, StoredChange
 from briarspur.gateway.sync import Sync
@@ -88,12 +87,12 @@
         for host, _ in addresses:
             self.world.deliver(self.record.entry_id, host, news)
 
-    async def pull(self, address: Address, kind: Kind, newer_than: int) -> Pulled | None:
+    async def pull(self, address: Address, kind: Kind, newer_than: int) -> PullResult | None:
         """Copy another entry's objects, as :class:`PullClient`."""
         other, entry_id, net = address.host, self.record.entry_id, self.world.net
         channel = self._channels.setdefault(other, Connections(entry_id, net, CHANNEL_IDLE))
         try:
-            async with asyncio.timeout(PULL_TIMEOUT):
+            async with asyncio.timeout(PULL_TIMEOUT_S):
                 await channel.open()
                 if not net.passes(entry_id, other) or not net.passes(other, entry_id):
                     await asyncio.Event().wait()
@@ -105,7 +104,7 @@
         replica = sender.syncs[kind].replica
         if replica.revision == 0:
             return None
-        return Pulled(replica.newer_than(newer_than), sender.following.store_age())
+        return PullResult(replica.newer_than(newer_than), sender.following.store_age())
 
     async def run(self) -> None:
         """Run the periodic work until cancelled."""
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from briarspur.coord.errors import StoreUnavailableError
-from briarspur.gateway.pull import TIMEOUT
+from briarspur.gateway.pull import PULL_TIMEOUT_S
 from briarspur.gateway.readtimes import FRESH, OWN_READ
 from briarspur.gateway.replica import FOLLOWED, Batch, Kind, StoredChange
 from tests.gateway.followers import HOST, FakeStore, Member
@@ -247,7 +247,7 @@
             following.received(reader.news(61))
             started_at = following._clock()
             await eventually(lambda: other.syncs[Kind.TARGETS].replica.revision == 190)
-            self.assertLess(following._clock() - started_at, TIMEOUT / 2.0)
+            self.assertLess(following._clock() - started_at, PULL_TIMEOUT_S / 2.0)
             for writer in writers:
                 writer.close()
             silent.close()
