--- a/briarspur/gateway/gossip.py
+++ b/briarspur/gateway/gossip.py
@@ -9,7 +9,7 @@
 from briarspur.gateway.entryrecord import EntryRecord
 from briarspur.gateway.fleet import Fleet
 from briarspur.gateway.groups import MAX_GROUP_SIZE, GroupView
-from briarspur.gateway.lead import Lead
+from briarspur.gateway.leader import LeaderRole
 from briarspur.gateway.loadview import ALL_OTHERS, LoadView, News, SeenEntries, SeenEntry
 from briarspur.gateway.relay import Relay, split_counts
 from briarspur.gateway.replica import Kind
@@ -103,7 +103,7 @@
         self._select_counts = select_counts
         self._notices = notices
         self.groups = GroupView(own_record)
-        self._lead = Lead(self.groups)
+        self._leader_role = LeaderRole(self.groups)
         self._relay = Relay()
         self._sequence = 0
         self._latest_by_sender: dict[str, tuple[int, int]] = {}
@@ -183,7 +183,7 @@
         if self.groups.is_first and self._is_leader(now):
             # Two leaders that accept each other's sums would alternate between the two views.
             return False
-        self._lead.heard_another(now)
+        self._leader_role.record_other_leader(now)
         own = self._own_counts_in(news)
         return own is not None and self._loads.received(news, now, own)
 
@@ -201,7 +201,7 @@
         """Send the messages that are due."""
         loads = self._counts()
         counts = loads + self._uses(now)
-        self._lead.started(now)
+        self._leader_role.record_start(now)
         if self.groups.is_aggregator and now - self._last_sent_to_all_at >= KEEPALIVE_PERIOD_S:
             self.advertise(now, counts)
         elif loads != self._last_loads or now - self._last_at >= KEEPALIVE_PERIOD_S:
@@ -244,7 +244,7 @@
         )
 
     def _is_leader(self, now: float) -> bool:
-        return self._lead.is_mine(self._fleet.leaving, now)
+        return self._leader_role.is_leader(self._fleet.leaving, now)
 
     def _sum_period(self) -> float:
         receivers = len(self.groups.members) + len(self.groups.first_aggregators)
