--- a/briarspur/gateway/readtimes.py
+++ b/briarspur/gateway/readtimes.py
@@ -1,4 +1,4 @@
-"""How often the store is read, from the time in which a change must be in force."""
+"""Derives how often the store is read from the time within which a change must be in force."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -8,38 +8,40 @@
 
 __all__ = ["ReadTimes", "read_times"]
 
-SHORTEST_BOUND = 3.0
-"""Seconds after its acknowledgement in which a change must be in force, up to which the times below
-hold as they are; beyond, they grow with it."""
-MOST_STRETCH = 3.0
-"""The times never grow more than that: a store that is back is to be noticed within seconds."""
-FRESH = 1.2
-"""Seconds since the store's confirmation up to which other entries' knowledge is relied on. It must
-exceed the time between two reads of one reader, and leave an entry that hears nothing fresh the
-time to list everything within the bound."""
-OWN_READ = 1.0
-"""Seconds since its own read of the store up to which an entry that follows it needs no copies. It
-exceeds the time between two reads while the store answers."""
+MIN_BOUND_S = 3.0
+"""Time after its acknowledgement within which a change must be in force. The times below apply to
+all bounds up to this one; for longer bounds they are increased in proportion."""
+MAX_STRETCH_FACTOR = 3.0
+"""Maximum increase of the times, so that the return of the store is detected within seconds."""
+FRESH_S = 1.2
+"""Age of the store's confirmation up to which an entry relies on the copies of other entries. It
+must exceed the time between two reads of one reader, and leave an entry that receives no recent
+news enough time to list everything within the bound."""
+OWN_READ_S = 1.0
+"""Age of its own read of the store up to which a reader needs no copies from others. It exceeds the
+time between two reads while the store answers."""
 TARGETS_PACE = Pace(wait=0.5, pause=0.3)
-"""Registrations may be renewed all the time, so they are read in batches, and their watches wait
-shortly: only the end of one confirms that nothing is missing. Each call is paid for."""
-SELDOM_PACE = Pace(wait=4.0, pause=0.0)
-"""Other kinds change seldom and are told of at once. A watch that waits 4 s notices a connection
-that went silent within 5 s."""
+"""Registrations may be renewed all the time, so they are read in batches, since each call is
+charged for. Their watches wait for a short time only, because a watch confirms only when it ends
+that no change is missing."""
+RARELY_CHANGING_PACE = Pace(wait=4.0, pause=0.0)
+"""Other kinds change rarely, and their changes are reported at once. A watch that waits for 4 s
+detects a connection that stopped responding within 5 s."""
 ENTRIES_PACE = Pace(wait=8.0, pause=0.2)
-"""Other entries' records may be late by 9 s, since their news tell who lives."""
+"""The records of other entries may be late by 9 s, since their news show which entries are alive.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadTimes:
-    """Times of reading the store, in seconds.
+    """Times that control the reads of the store, in seconds.
 
     Attributes
     ----------
     fresh : float
-        Age up to which other entries' knowledge is relied on.
+        Age up to which an entry relies on the copies of other entries.
     own_read : float
-        Age of its own read up to which a reader needs no copies.
+        Age of its own read up to which a reader needs no copies from others.
     """
 
     fresh: float
@@ -48,16 +50,16 @@
 
 
 def read_times(bound: float) -> ReadTimes:
-    """Return the times for a bound, in seconds, on how late any change may come into force."""
-    stretch = min(MOST_STRETCH, max(1.0, bound / SHORTEST_BOUND))
+    """Return the times for a bound, in seconds, within which any change must be in force."""
+    stretch = min(MAX_STRETCH_FACTOR, max(1.0, bound / MIN_BOUND_S))
     targets = Pace(wait=TARGETS_PACE.wait * stretch, pause=TARGETS_PACE.pause * stretch)
     return ReadTimes(
-        fresh=FRESH * stretch,
-        own_read=OWN_READ * stretch,
+        fresh=FRESH_S * stretch,
+        own_read=OWN_READ_S * stretch,
         paces={
-            Kind.CONFIGURATION: SELDOM_PACE,
+            Kind.CONFIGURATION: RARELY_CHANGING_PACE,
             Kind.TARGETS: targets,
-            Kind.EVACUATIONS: SELDOM_PACE,
+            Kind.EVACUATIONS: RARELY_CHANGING_PACE,
             Kind.ENTRIES: ENTRIES_PACE,
         },
     )
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -5,7 +5,7 @@
 
 from briarspur.coord.errors import StoreUnavailableError
 from briarspur.gateway.pull import PULL_TIMEOUT_S
-from briarspur.gateway.readtimes import FRESH, OWN_READ
+from briarspur.gateway.readtimes import FRESH_S, OWN_READ_S
 from briarspur.gateway.replica import FOLLOWED, Batch, Kind, StoredChange
 from tests.gateway.followers import HOST, FakeStore, Member
 from tests.loop import LoopTestCase, eventually
@@ -60,7 +60,7 @@
                 sequence += 1
                 other.following.received(reader.news(sequence))
                 await asyncio.sleep(0.05)
-            self.assertLess(sequence * 0.05, FRESH + 1.5)
+            self.assertLess(sequence * 0.05, FRESH_S + 1.5)
             for member in (reader, other, *self.other_members):
                 await member.close()
 
@@ -219,7 +219,7 @@
             reader, other = await self.pair_with_change(17_549)
             following = other.following
             following._started_at = following._confirmed_at = following._clock() - 10.0
-            following._read_at = following._clock() - OWN_READ - 0.1
+            following._read_at = following._clock() - OWN_READ_S - 0.1
             self.assertFalse(other.syncs[Kind.TARGETS].is_failing)
             following.received(reader.news(60))
             await eventually(lambda: other.syncs[Kind.TARGETS].replica.revision == 190)
@@ -285,7 +285,7 @@
             self.assertLess(second.following.store_age(), 0.5)
             started_at = second.following._clock()
             await eventually(lambda: set(store.calls) == set(FOLLOWED))
-            self.assertLess(second.following._clock() - started_at, FRESH + 0.5)
+            self.assertLess(second.following._clock() - started_at, FRESH_S + 0.5)
             await first.close()
             await second.close()
 
