--- a/tests/gateway/playedstore.py
+++ b/tests/gateway/simulatedstore.py
@@ -1,4 +1,4 @@
-"""The store of a played fleet, and the network between it and the entries, with their faults."""
+"""Simulates the store of a fleet, and the network between store and entries, with faults."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -10,27 +10,35 @@
 from briarspur.gateway.replica import Batch, Kind, StoredChange
 from briarspur.gateway.settings import StoreSettings
 
-__all__ = ["STORE_PLACE", "WAY", "Connections", "Net", "Source", "Store", "essence"]
-
-HISTORY = 3.5
-"""Seconds for which the store remembers its changes; it may forget them at any time."""
-LIST_TIME = 0.5
-"""Seconds that a list of some hundred registrations takes beside the way: 230 kB over a link of
-10 Mbit/s, through windows that open by round trips of 70 ms."""
-STORE_IDLE = StoreSettings.model_fields["idle_s"].default
-CALL_TIMEOUT = StoreSettings.model_fields["timeout_s"].default
-WAY = 0.035
-"""Seconds one way between the farthest entries, or from there to the store."""
+__all__ = [
+    "STORE_PLACE",
+    "TRANSIT_S",
+    "Connections",
+    "Network",
+    "Source",
+    "Store",
+    "significant_part",
+]
+
+HISTORY_S = 3.5
+"""Time for which the store keeps its changes, which it may discard at any time."""
+LIST_DURATION_S = 0.5
+"""Duration of a list of some hundred registrations in addition to the transit: 230 kB over a link
+of 10 Mbit/s, through windows that open in round trips of 70 ms."""
+STORE_IDLE_S = StoreSettings.model_fields["idle_s"].default
+CALL_TIMEOUT_S = StoreSettings.model_fields["timeout_s"].default
+TRANSIT_S = 0.035
+"""One-way transit between the two most distant entries, or from such an entry to the store."""
 STORE_PLACE = "store"
 
 
-def essence(value: Any) -> Any:
-    """Return what matters of a stored value: not the count of its renewals."""
+def significant_part(value: Any) -> Any:
+    """Return a stored value without the counter of its renewals."""
     return {k: v for k, v in value.items() if k != "seq"} if isinstance(value, dict) else value
 
 
 class Store:
-    """Objects by kind with their history; registrations are renewed all the time."""
+    """Objects of all kinds with their history; registrations can be renewed all the time."""
 
     def __init__(self, targets: int, clock: Callable[[], float]) -> None:
         self.revision = 1
@@ -49,7 +57,7 @@
         self._written.append((self._clock(), self.revision))
 
     def renew(self, targets: Sequence[str]) -> None:
-        """Renew some registrations, which changes nothing that matters."""
+        """Renew some registrations, which changes nothing significant."""
         latest = self.latest(Kind.TARGETS)
         for name in targets:
             if name in latest and latest[name].value is not None:
@@ -57,97 +65,99 @@
                 self.put(Kind.TARGETS, name, {**latest[name].value, "seq": self._seq})
 
     def latest(self, kind: Kind) -> dict[str, StoredChange]:
-        """Return the objects as they are."""
+        """Return the latest change of each object by name."""
         return {change.name: change for change in self.changes[kind]}
 
     def whole(self, kind: Kind) -> Batch:
-        """Return a list of a kind."""
+        """Return all objects of a kind."""
         alive = tuple(c for c in self.latest(kind).values() if c.value is not None)
         return Batch(self.revision, alive, whole=True)
 
     def since(self, kind: Kind, revision: int) -> Batch:
-        """Return what changed since a revision."""
-        forgotten = [r for at, r in self._written if at < self._clock() - HISTORY]
-        if forgotten and revision < forgotten[-1]:
+        """Return the changes of a kind since a revision."""
+        discarded = [r for at, r in self._written if at < self._clock() - HISTORY_S]
+        if discarded and revision < discarded[-1]:
             raise HistoryGoneError(kind.name)
-        news = {c.name: c for c in self.changes[kind] if c.revision > revision}
-        return Batch(self.revision, tuple(sorted(news.values(), key=lambda c: c.revision)))
+        changes = {c.name: c for c in self.changes[kind] if c.revision > revision}
+        return Batch(self.revision, tuple(sorted(changes.values(), key=lambda c: c.revision)))
 
 
 @dataclass
-class Net:
-    """Which ways are cut, and which places stand still.
+class Network:
+    """The faults of the network, the store and the entries.
 
     Attributes
     ----------
-    silent : set of (str, str)
-        Ways, as sender and receiver, on which everything is lost without a word.
+    dropped_paths : set of (str, str)
+        Paths, as sender and receiver, on which all messages are lost without an error.
     refused : set of str
-        Entries that the store turns away at once.
+        Entries whose calls the store refuses at once.
     frozen : set of str
         Entries that do nothing.
-    died_at : dict
-        When the connections that an entry held open went dead, without a word: whatever is sent on
-        them hangs. New ones work.
-    news_lost : float
+    connections_died_at : dict
+        Time at which the connections that an entry held open died without an error: calls on them
+        hang. New connections work.
+    news_loss_share : float
         Share of the datagrams between entries that are lost.
-    slow : dict
-        Seconds that an entry takes longer to read what has come for it.
+    read_delays : dict
+        Seconds by which an entry is late to read messages that have arrived.
     """
 
-    silent: set[tuple[str, str]] = field(default_factory=set)
+    dropped_paths: set[tuple[str, str]] = field(default_factory=set)
     refused: set[str] = field(default_factory=set)
     frozen: set[str] = field(default_factory=set)
-    died_at: dict[str, float] = field(default_factory=dict)
-    news_lost: float = 0.0
-    slow: dict[str, float] = field(default_factory=dict)
+    connections_died_at: dict[str, float] = field(default_factory=dict)
+    news_loss_share: float = 0.0
+    read_delays: dict[str, float] = field(default_factory=dict)
 
     def cut(self, one: str, other: str) -> None:
-        """Cut both ways between two places."""
-        self.silent |= {(one, other), (other, one)}
+        """Drop all messages between two places in both directions."""
+        self.dropped_paths |= {(one, other), (other, one)}
 
     def passes(self, sender: str, receiver: str) -> bool:
-        """Return whether a message arrives."""
+        """Return whether a message from a sender arrives at a receiver."""
         both = {sender, receiver}
-        return (sender, receiver) not in self.silent and not both & self.frozen
+        return (sender, receiver) not in self.dropped_paths and not both & self.frozen
 
 
 class Connections:
-    """The connections that an entry keeps to one place; the one that was idle longest is used."""
+    """The connections that an entry keeps to one place; the one idle for the longest is reused."""
 
-    def __init__(self, entry_id: str, net: Net, idle: float) -> None:
-        self._me = entry_id
-        self._net = net
+    def __init__(self, entry_id: str, network: Network, idle: float) -> None:
+        self._entry_id = entry_id
+        self._network = network
         self._idle = idle
         self._used_at: list[float] = []
 
     async def open(self) -> None:
-        """Take a kept connection or make one; hangs on one that is dead."""
+        """Reuse a kept connection or open a new one; hang if the kept one is dead."""
         now = asyncio.get_running_loop().time()
         self._used_at = [at for at in self._used_at if now - at <= self._idle]
         if not self._used_at:
-            await asyncio.sleep(2.0 * WAY)
-        elif self._used_at.pop(0) < self._net.died_at.get(self._me, float("-inf")):
+            await asyncio.sleep(2.0 * TRANSIT_S)
+        elif self._used_at.pop(0) < self._network.connections_died_at.get(
+            self._entry_id, float("-inf")
+        ):
             await asyncio.Event().wait()
 
     def keep(self) -> None:
-        """Keep the connection of a call that was answered."""
+        """Keep the connection of an answered call for reuse."""
         self._used_at.append(asyncio.get_running_loop().time())
 
 
 class Source:
-    """One entry's calls to the store."""
+    """The calls of one entry to the store, as :class:`ObjectSource`."""
 
-    def __init__(self, entry_id: str, store: Store, net: Net) -> None:
-        self._me = entry_id
+    def __init__(self, entry_id: str, store: Store, network: Network) -> None:
+        self._entry_id = entry_id
         self._store = store
-        self._net = net
-        self._connections = Connections(entry_id, net, STORE_IDLE)
+        self._network = network
+        self._connections = Connections(entry_id, network, STORE_IDLE_S)
         self.calls = 0
 
     async def list(self, kind: Kind, may_be_old: bool = False) -> Batch:
         batch = await self._call(0.0, lambda: self._store.whole(kind))
-        await asyncio.sleep(LIST_TIME)
+        await asyncio.sleep(LIST_DURATION_S)
         return batch
 
     async def watch(self, kind: Kind, revision: int, wait: float) -> Batch:
@@ -162,33 +172,33 @@
     async def _call(self, wait: float, answer: Callable[[], Batch]) -> Batch:
         self.calls += 1
         try:
-            async with asyncio.timeout(CALL_TIMEOUT + wait):
-                return await self._answered(wait, answer)
+            async with asyncio.timeout(CALL_TIMEOUT_S + wait):
+                return await self._answer(wait, answer)
         except TimeoutError:
             raise StoreUnavailableError("timed out") from None
 
-    async def _answered(self, wait: float, answer: Callable[[], Batch]) -> Batch:
+    async def _answer(self, wait: float, answer: Callable[[], Batch]) -> Batch:
         await self._connections.open()
-        await self._travel(self._me, STORE_PLACE)
-        if self._me in self._net.refused:
-            await self._travel(STORE_PLACE, self._me)
+        await self._transmit(self._entry_id, STORE_PLACE)
+        if self._entry_id in self._network.refused:
+            await self._transmit(STORE_PLACE, self._entry_id)
             raise StoreUnavailableError("status 503")
         until = asyncio.get_running_loop().time() + wait
         try:
             batch = answer()
         except HistoryGoneError:
-            await self._travel(STORE_PLACE, self._me)
+            await self._transmit(STORE_PLACE, self._entry_id)
             self._connections.keep()
             raise
         while not batch.changes and asyncio.get_running_loop().time() < until:
             await asyncio.sleep(0.01)
             batch = answer()
-        await self._travel(STORE_PLACE, self._me)
-        await asyncio.sleep(self._net.slow.get(self._me, 0.0))
+        await self._transmit(STORE_PLACE, self._entry_id)
+        await asyncio.sleep(self._network.read_delays.get(self._entry_id, 0.0))
         self._connections.keep()
         return batch
 
-    async def _travel(self, sender: str, receiver: str) -> None:
-        if not self._net.passes(sender, receiver):
+    async def _transmit(self, sender: str, receiver: str) -> None:
+        if not self._network.passes(sender, receiver):
             await asyncio.Event().wait()
-        await asyncio.sleep(WAY)
+        await asyncio.sleep(TRANSIT_S)
--- a/tests/gateway/spreading.py
+++ b/tests/gateway/spreading.py
@@ -22,8 +22,15 @@
 from briarspur.gateway.readtimes import read_times
 from briarspur.gateway.replica import FOLLOWED, ChangeSource, Kind, Replica, StoredChange
 from briarspur.gateway.sync import Sync
-from tests.gateway.playedstore import WAY, Connections, Net, Source, Store, essence
 from tests.gateway.samples import steering
+from tests.gateway.simulatedstore import (
+    TRANSIT_S,
+    Connections,
+    Network,
+    Source,
+    Store,
+    significant_part,
+)
 
 __all__ = ["Entry", "World"]
 
@@ -67,7 +74,7 @@
         self.syncs = {
             kind: Sync(
                 self.source,
-                Replica(kind, essence),
+                Replica(kind, significant_part),
                 world.times.paces[kind],
                 random.Random(seed),
                 self.following.read_delay,
@@ -96,7 +103,7 @@
                 await channel.open()
                 if not net.passes(entry_id, other) or not net.passes(other, entry_id):
                     await asyncio.Event().wait()
-                await asyncio.sleep(2.0 * WAY + net.slow.get(other, 0.0))
+                await asyncio.sleep(2.0 * TRANSIT_S + net.read_delays.get(other, 0.0))
         except TimeoutError:
             raise PeerError(other) from None
         channel.keep()
@@ -161,7 +168,7 @@
     ) -> None:
         self.times = read_times(bound)
         self.store = Store(targets, asyncio.get_running_loop().time)
-        self.net = Net()
+        self.net = Network()
         self._renewals = renewals
         self._rng = random.Random(size)
         self.targets = targets
@@ -190,9 +197,9 @@
 
     def deliver(self, sender: str, receiver: str, news: News) -> None:
         """Transmit news from one entry to another."""
-        is_lost = self._rng.random() < self.net.news_lost
+        is_lost = self._rng.random() < self.net.news_loss_share
         if not is_lost and self.net.passes(sender, receiver):
-            delay = WAY + self.net.slow.get(receiver, 0.0)
+            delay = TRANSIT_S + self.net.read_delays.get(receiver, 0.0)
             asyncio.get_running_loop().call_later(delay, self._arrive, receiver, news)
 
     def readers(self, zone: str) -> list[str]:
--- a/tests/gateway/test_departure_spread.py
+++ b/tests/gateway/test_departure_spread.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import ClassVar
 
-from tests.gateway.playedstore import STORE_PLACE
+from tests.gateway.simulatedstore import STORE_PLACE
 from tests.gateway.spreading import World
 from tests.virtualtime import run_virtual
 
@@ -74,28 +74,28 @@
 def reader_not_heard(world: World, readers: list[str]) -> None:
     """Lose all that a reader says."""
     for other in set(world.by_id) - {readers[0]}:
-        world.net.silent.add((readers[0], other))
+        world.net.dropped_paths.add((readers[0], other))
 
 
 def reader_does_not_hear(world: World, readers: list[str]) -> None:
     """Let a reader's news arrive, but nothing be pulled from it."""
     for other in set(world.by_id) - {readers[0]}:
-        world.net.silent.add((other, readers[0]))
+        world.net.dropped_paths.add((other, readers[0]))
 
 
 def reader_reads_late(world: World, readers: list[str]) -> None:
     """Make a reader so busy that it reads what has come for it 1.2 s late."""
-    world.net.slow[readers[0]] = 1.2
+    world.net.read_delays[readers[0]] = 1.2
 
 
 def every_reader_reads_late(world: World, readers: list[str]) -> None:
     """Make all readers so busy that they read what has come for them 1.2 s late."""
-    world.net.slow = dict.fromkeys(readers, 1.2)
+    world.net.read_delays = dict.fromkeys(readers, 1.2)
 
 
 def half_of_the_news_lost(world: World, readers: list[str]) -> None:
     """Lose every second datagram between entries."""
-    world.net.news_lost = 0.5
+    world.net.news_loss_share = 0.5
 
 
 def zone_hears_no_other(world: World, readers: list[str]) -> None:
@@ -110,7 +110,7 @@
 def connections_died(world: World, readers: list[str]) -> None:
     """Kill all connections that were open some time ago; new ones work."""
     now = asyncio.get_running_loop().time()
-    world.net.died_at = dict.fromkeys(world.by_id, now - STABLE)
+    world.net.connections_died_at = dict.fromkeys(world.by_id, now - STABLE)
 
 
 def connections_died_then_reader_frozen(world: World, readers: list[str]) -> None:
@@ -147,8 +147,8 @@
 def disturbed(world: World) -> set[str]:
     """Return the entries that can't reach the store or are themselves held up."""
     net = world.net
-    cut = {entry_id for entry_id in world.by_id if (entry_id, STORE_PLACE) in net.silent}
-    return net.frozen | net.refused | set(net.slow) | cut
+    cut = {entry_id for entry_id in world.by_id if (entry_id, STORE_PLACE) in net.dropped_paths}
+    return net.frozen | net.refused | set(net.read_delays) | cut
 
 
 async def latest(
