--- a/briarspur/gateway/following.py
+++ b/briarspur/gateway/following.py
@@ -82,7 +82,7 @@
         self._times = times
         self._started_at = clock()
         self._news_complete_at = float("inf")
-        self._unknown_until = float("-inf")
+        self._reread_entries_until = float("-inf")
         self._confirmed_at = float("-inf")
         self._rarely_changing_confirmed_at = float("-inf")
         self._read_at = float("-inf")
@@ -122,7 +122,7 @@
                 return 0.0
             if not entries_known:
                 return STARTUP_POLL_S
-        if kind is Kind.ENTRIES and now < self._unknown_until:
+        if kind is Kind.ENTRIES and now < self._reread_entries_until:
             return 0.0
         if not self._may_read(now):
             return self._poll_delay(now)
@@ -156,8 +156,8 @@
         if kind is not Kind.TARGETS:
             return
         relies = self._relies_on_first(now)
-        own = (s for k, s in self.syncs.items() if not (relies and k in RARELY_CHANGING))
-        if all(sync.is_current(now) for sync in own):
+        read_here = (s for k, s in self.syncs.items() if not (relies and k in RARELY_CHANGING))
+        if all(sync.is_current(now) for sync in read_here):
             as_of = min(as_of, self._rarely_changing_confirmed_at) if relies else as_of
             self._read_at = as_of
             self._confirmed_at = max(self._confirmed_at, as_of)
@@ -190,16 +190,16 @@
         address = self._address_of(news.entry_id)
         if address is None:
             # Its record was written after this entry listed the records.
-            self._unknown_until = self._clock() + UNKNOWN_SENDER_S
+            self._reread_entries_until = self._clock() + UNKNOWN_SENDER_S
             return
         # An entry that reads the store itself needs no copies of registrations as long as the store
         # answers: they change often, and it has just read them or is about to. But an entry whose
         # call hung, and which therefore pulled no copies, sent requests to servers that had left
         # until the call timed out 1.5 s later, and in a network partition for as long as that
         # lasted. The other kinds change rarely, and their watches may hang unnoticed for 5 s.
-        own = self._is_reading() and self._store_answers()
+        reads_itself = self._is_reading() and self._store_answers()
         for kind in behind:
-            if kind is not Kind.TARGETS or not own:
+            if kind is not Kind.TARGETS or not reads_itself:
                 self._start_pull(address, kind)
 
     def tick(self) -> None:
--- a/briarspur/gateway/sync.py
+++ b/briarspur/gateway/sync.py
@@ -206,8 +206,8 @@
         self._rechecking = False
         self.current_at = self._clock()
         if self._lost_at is not None:
-            away = self._clock() - self._lost_at
-            logs.event("store-regained", kind=self.replica.kind.name, away_s=f"{away:.3f}")
+            duration = self._clock() - self._lost_at
+            logs.event("store-regained", kind=self.replica.kind.name, away_s=f"{duration:.3f}")
             self._lost_at = None
         self._on_reachable(self.replica.kind, True)
 
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -236,11 +236,13 @@
         """
 
         async def work() -> None:
-            unresponsive = 17_553
+            unresponsive_port = 17_553
             reader, other = await self.pair_with_change(17_551)
             writers: list[asyncio.StreamWriter] = []
-            silent = await asyncio.start_server(lambda r, w: writers.append(w), HOST, unresponsive)
-            other.port_of["unresponsive"] = unresponsive
+            server = await asyncio.start_server(
+                lambda r, w: writers.append(w), HOST, unresponsive_port
+            )
+            other.port_of["unresponsive"] = unresponsive_port
             following = other.following
             following._confirmed_at = following._clock()
             following.received(replace(reader.news(60), entry_id="unresponsive"))
@@ -250,7 +252,7 @@
             self.assertLess(following._clock() - started_at, PULL_TIMEOUT_S / 2.0)
             for writer in writers:
                 writer.close()
-            silent.close()
+            server.close()
             await other.close()
             await reader.close()
 
