--- a/briarspur/gateway/app.py
+++ b/briarspur/gateway/app.py
@@ -30,7 +30,7 @@
 from briarspur.gateway.pool import ConnectionPool
 from briarspur.gateway.pull import PullClient, PullServer
 from briarspur.gateway.readtimes import read_times
-from briarspur.gateway.replica import FOLLOWED, Kind, Replica, StoredChange, Way
+from briarspur.gateway.replica import FOLLOWED, ChangeSource, Kind, Replica, StoredChange
 from briarspur.gateway.requestlog import RequestLog
 from briarspur.gateway.settings import BoundSettings, GatewaySettings
 from briarspur.gateway.steering import Steering
@@ -116,7 +116,7 @@
             self.steering.loads,
             self.news_port,
             self._in_flight_counts,
-            lambda: self.following.significant(),
+            lambda: self.following.significant_revisions(),
             lambda: self.following.store_age(),
             self.steering.usage_counts,
             self.steering.quotas.worth_reporting,
@@ -256,8 +256,10 @@
     def _configuration_applied(self, configuration: Configuration) -> None:
         self.frontend.apply_limits(configuration.limits)
 
-    def _store_changed(self, kind: Kind, changes: Sequence[StoredChange], source: Way) -> None:
-        self.applier.changed(kind, changes, source)
+    def _store_changed(
+        self, kind: Kind, changes: Sequence[StoredChange], source: ChangeSource
+    ) -> None:
+        self.applier.apply(kind, changes, source)
 
     def _make_sync(self, kind: Kind) -> Sync:
         return Sync(
@@ -265,10 +267,10 @@
             Replica(kind, lambda value: self._codec.relevant_part(kind, value)),
             self._read_times.paces[kind],
             self._rng,
-            self.following.gate,
+            self.following.read_delay,
             self._store_changed,
-            self.following.store_answered,
-            self.following.read,
+            self.following.record_call,
+            self.following.record_read,
             self._reactor.seconds,
         )
 
@@ -276,7 +278,7 @@
 
     def _news_received(self, news: News) -> None:
         if self.gossip.received(news, self._reactor.seconds()):
-            self.following.heard(news)
+            self.following.received(news)
 
     def _send_news(self) -> None:
         self._reactor.callLater(self.gossip.period(), self._send_news)
--- a/tests/gateway/spreading.py
+++ b/tests/gateway/spreading.py
@@ -18,13 +18,19 @@
 from briarspur.gateway.following import Following
 from briarspur.gateway.gossip import Gossip
 from briarspur.gateway.loadview import News
-from briarspur.gateway.pull import TIMEOUT as PULL_TIMEOUT
-from briarspur.gateway.pull import Pulled
+from briarspur.gateway.pull import PULL_TIMEOUT_S, PullResult
 from briarspur.gateway.readtimes import read_times
-from briarspur.gateway.replica import FOLLOWED, Kind, Replica, StoredChange, Way
+from briarspur.gateway.replica import FOLLOWED, ChangeSource, Kind, Replica, StoredChange
 from briarspur.gateway.sync import Sync
-from tests.gateway.playedstore import WAY, Connections, Net, Source, Store, essence
 from tests.gateway.samples import steering
+from tests.gateway.simulatedstore import (
+    TRANSIT_S,
+    Connections,
+    Network,
+    Source,
+    Store,
+    significant_part,
+)
 
 __all__ = ["Entry", "World"]
 
@@ -50,7 +56,7 @@
             steering(0).loads,
             self,
             Counter,
-            lambda: self.following.significant(),
+            lambda: self.following.significant_revisions(),
             lambda: self.following.store_age(),
         )
         self.following = Following(
@@ -68,13 +74,13 @@
         self.syncs = {
             kind: Sync(
                 self.source,
-                Replica(kind, essence),
+                Replica(kind, significant_part),
                 world.times.paces[kind],
                 random.Random(seed),
-                self.following.gate,
+                self.following.read_delay,
                 self._changed,
-                self.following.store_answered,
-                self.following.read,
+                self.following.record_call,
+                self.following.record_read,
                 clock,
             )
             for kind in FOLLOWED
@@ -88,16 +94,16 @@
         for host, _ in addresses:
             self.world.deliver(self.record.entry_id, host, news)
 
-    async def pull(self, address: Address, kind: Kind, newer_than: int) -> Pulled | None:
+    async def pull(self, address: Address, kind: Kind, newer_than: int) -> PullResult | None:
         """Copy another entry's objects, as :class:`PullClient`."""
         other, entry_id, net = address.host, self.record.entry_id, self.world.net
         channel = self._channels.setdefault(other, Connections(entry_id, net, PEER_CHANNEL_IDLE_S))
         try:
-            async with asyncio.timeout(PULL_TIMEOUT):
+            async with asyncio.timeout(PULL_TIMEOUT_S):
                 await channel.open()
                 if not net.passes(entry_id, other) or not net.passes(other, entry_id):
                     await asyncio.Event().wait()
-                await asyncio.sleep(2.0 * WAY + net.slow.get(other, 0.0))
+                await asyncio.sleep(2.0 * TRANSIT_S + net.read_delays.get(other, 0.0))
         except TimeoutError:
             raise PeerError(other) from None
         channel.keep()
@@ -105,7 +111,7 @@
         replica = sender.syncs[kind].replica
         if replica.revision == 0:
             return None
-        return Pulled(replica.newer_than(newer_than), sender.following.store_age())
+        return PullResult(replica.newer_than(newer_than), sender.following.store_age())
 
     async def run(self) -> None:
         """Run the periodic work until cancelled."""
@@ -131,9 +137,9 @@
     def received(self, news: News) -> None:
         """Handle the news of another entry."""
         if self.gossip.received(news, asyncio.get_running_loop().time()):
-            self.following.heard(news)
+            self.following.received(news)
 
-    def _changed(self, kind: Kind, changes: Sequence[StoredChange], way: Way) -> None:
+    def _changed(self, kind: Kind, changes: Sequence[StoredChange], source: ChangeSource) -> None:
         now = asyncio.get_running_loop().time()
         for change in changes:
             is_leaving = change.value is None or change.value.get("state") == "draining"
@@ -162,7 +168,7 @@
     ) -> None:
         self.times = read_times(bound)
         self.store = Store(targets, asyncio.get_running_loop().time)
-        self.net = Net()
+        self.net = Network()
         self._renewals = renewals
         self._rng = random.Random(size)
         self.targets = targets
@@ -191,9 +197,9 @@
 
     def deliver(self, sender: str, receiver: str, news: News) -> None:
         """Transmit news from one entry to another."""
-        is_lost = self._rng.random() < self.net.news_lost
+        is_lost = self._rng.random() < self.net.news_loss_share
         if not is_lost and self.net.passes(sender, receiver):
-            delay = WAY + self.net.slow.get(receiver, 0.0)
+            delay = TRANSIT_S + self.net.read_delays.get(receiver, 0.0)
             asyncio.get_running_loop().call_later(delay, self._arrive, receiver, news)
 
     def readers(self, zone: str) -> list[str]:
