--- a/briarspur/backend.py
+++ b/briarspur/backend.py
@@ -1,7 +1,7 @@
-"""The client side: sends one request to a backend server or another entry, and reads its answer.
+"""HTTP client that sends requests to backend servers and other entries and reads the answers.
 
-What is known of an attempt that fails decides whether the request may be sent again. It is
-:attr:`Failure.NOT_SENT` only if no connection was handed to the attempt, so that no byte of the
+The failure of an attempt decides whether the request may be sent again. It is
+:attr:`Failure.NOT_SENT` only if the attempt was never given a connection, so that no byte of the
 request can have reached a transport.
 """
 
@@ -28,24 +28,23 @@
 
 __all__ = ["AnswerHead", "Attempt", "AttemptError", "AttemptEvents", "BackendClient", "Outgoing"]
 
-CONNECT_TIMEOUT = 1.0
-"""Seconds to wait for a connection."""
-KEPT_CONNECTION_LIFETIME = 20
-"""Seconds an idle connection is kept; short, so that backend servers seldom close it first."""
-MOST_KEPT = 350
-"""Idle connections kept to one target; the bound on open ones comes with each request."""
+CONNECT_TIMEOUT_S = 1.0
+IDLE_LIFETIME_S = 20
+"""How long an idle connection is kept; short, so that backend servers seldom close it first."""
+MAX_IDLE_CONNECTIONS = 350
+"""Per host and port. Open connections are limited by :attr:`Outgoing.max_open`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A request as it is sent.
+    """A request to send.
 
     Attributes
     ----------
     uri : bytes
         Path and query.
-    most_open : int
-        Requests that may be open to this host and port at once.
+    max_open : int
+        Maximum of concurrent requests to this host and port.
     """
 
     host: str
@@ -54,7 +53,7 @@
     uri: bytes
     headers: Headers
     body: bytes
-    most_open: int
+    max_open: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +63,7 @@
     Attributes
     ----------
     crashed : bool
-        The connection was refused or broke in a way that looks like a crash of the receiver.
+        The connection was refused, or was lost as if the receiver had crashed.
     """
 
     failure: Failure
@@ -73,30 +72,30 @@
 
 
 class AttemptEvents(Protocol):
-    """Who hears of an attempt; nothing more is said after the end, a failure or a cancel."""
+    """Receiver of the events of an attempt; none follows the end, a failure or a cancel."""
 
     def head_received(self, head: AnswerHead) -> None:
-        """Take the head; the body stays unread until ``Attempt.start_body``."""
+        """Handle the head; the body stays unread until ``Attempt.start_body``."""
 
     def data_received(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a part of the body."""
 
     def body_ended(self) -> None:
-        """Note that the body is whole."""
+        """Handle the end of a complete body."""
 
     def attempt_failed(self, failed: AttemptError) -> None:
-        """Note that no whole answer will come."""
+        """Handle a failure: there will be no complete answer."""
 
 
 class Response(Protocol):
-    """The part of Twisted's answer that is used here."""
+    """The part of Twisted's response that is used here."""
 
     code: int
     headers: Headers
     length: int | str
 
     def deliverBody(self, protocol: TwistedProtocol) -> None:  # noqa: N802
-        """Give the body to ``protocol``."""
+        """Deliver the body to ``protocol``."""
 
 
 class BodyTransport(Protocol):
@@ -106,67 +105,68 @@
         """Stop reading."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Go on reading."""
+        """Resume reading."""
 
     def loseConnection(self) -> None:  # noqa: N802
         """Close the connection."""
 
 
 class Consumer(Protocol):
-    """What a request's body is written to."""
+    """The transport to which a request body is written."""
 
     def write(self, data: bytes) -> None:
-        """Write a part."""
+        """Write a part of the body."""
 
 
 class BackendClient:
-    """Sends requests over kept connections; a context of one process.
+    """Sends requests over persistent connections, of which there is one pool per client.
 
     Parameters
     ----------
     reactor : IReactorTCP
-        The reactor of the one loop.
+        The reactor of the process.
     connect_timeout : float
         Seconds to wait for a connection.
     source : str or None
-        IP number to connect from.
+        IP address to connect from.
     """
 
     def __init__(
         self,
         reactor: IReactorTCP,
-        connect_timeout: float = CONNECT_TIMEOUT,
+        connect_timeout: float = CONNECT_TIMEOUT_S,
         source: str | None = None,
     ) -> None:
         self._reactor = reactor
         self._pool = HTTPConnectionPool(reactor)
-        # Twisted would send a GET, HEAD, PUT-less DELETE again by itself when a kept connection
-        # breaks before an answer. The core would count one dispatch where there were two: retry
-        # budget, poison count and at-most-once would all be wrong, and no log would show it.
-        # Without it each break is told to the core, which alone decides on a repeat.
+        # By default, Twisted resends a GET, HEAD or DELETE when a persistent connection is lost
+        # before an answer. The core would count one dispatch where there were two, so the retry
+        # budget, the crash count of the request and the at-most-once guarantee would be wrong, and
+        # no log would show it. Instead, report each lost connection to the core, which alone
+        # decides on a retry.
         self._pool.retryAutomatically = False
-        self._pool.maxPersistentPerHost = MOST_KEPT
-        self._pool.cachedConnectionTimeout = KEPT_CONNECTION_LIFETIME
+        self._pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
+        self._pool.cachedConnectionTimeout = IDLE_LIFETIME_S
         self._endpoints = NumberEndpoints(reactor, connect_timeout, source)
         self._open_by_address: Counter[tuple[str, int]] = Counter()
 
     def send(self, outgoing: Outgoing, events: AttemptEvents) -> "Attempt":
-        """Send a request; ``events`` may hear of a failure before this returns."""
+        """Send a request; ``events`` may receive a failure before this returns."""
         address = (outgoing.host, outgoing.port)
         attempt = Attempt(events, lambda: self._closed(address))
         self._open_by_address[address] += 1
-        if self._open_by_address[address] > outgoing.most_open:
+        if self._open_by_address[address] > outgoing.max_open:
             attempt.fail(AttemptError(Failure.NOT_SENT, "the target's connections are used up"))
             return attempt
-        attempt.follow(self._request(outgoing, attempt))
+        attempt.wait_for_head(self._request(outgoing, attempt))
         return attempt
 
     def open_requests(self) -> int:
-        """Return how many requests are open."""
+        """Return the number of open requests."""
         return self._open_by_address.total()
 
     def close(self) -> Deferred[None]:
-        """Close the kept connections."""
+        """Close the idle connections."""
         return cast("Deferred[None]", self._pool.closeCachedConnections())
 
     def _request(self, outgoing: Outgoing, attempt: "Attempt") -> Deferred[Response]:
@@ -174,7 +174,7 @@
         agent = Agent.usingEndpointFactory(self._reactor, self._endpoints, pool)
         host = f"[{outgoing.host}]" if ":" in outgoing.host else outgoing.host
         uri = f"http://{host}:{outgoing.port}".encode() + outgoing.uri
-        body = _WholeBody(outgoing.body) if outgoing.body else None
+        body = _BufferedBody(outgoing.body) if outgoing.body else None
         waiting = agent.request(outgoing.method, uri, outgoing.headers, body)
         return cast("Deferred[Response]", waiting)
 
@@ -185,12 +185,12 @@
 
 
 class Attempt(TwistedProtocol):
-    """One sending of a request, and the reading of its answer.
+    """Sends a request once and reads its answer.
 
     Attributes
     ----------
     handed_over : bool
-        A connection was given to the request, so bytes of it may have left this process.
+        The request was given a connection, so bytes of it may have left this process.
     """
 
     def __init__(self, events: AttemptEvents, on_closed: "_Callback") -> None:
@@ -203,10 +203,10 @@
         self._reading = False
         self.handed_over = False
 
-    def follow(self, pending: Deferred[Response]) -> None:
+    def wait_for_head(self, pending: Deferred[Response]) -> None:
         """Wait for the answer's head."""
         self._pending = pending
-        pending.addCallbacks(self._head, self._no_head)
+        pending.addCallbacks(self._head_arrived, self._head_failed)
 
     def start_body(self) -> None:
         """Read the body; parts may arrive before this returns."""
@@ -215,17 +215,17 @@
         self._response.deliverBody(self)
 
     def pause(self) -> None:
-        """Stop reading the body, so that the sender is slowed by its full window."""
+        """Stop reading the body; TCP flow control then makes the sender wait."""
         if self._reading and self._events is not None:
             self._body_transport().pauseProducing()
 
     def resume(self) -> None:
-        """Go on reading the body."""
+        """Resume reading the body."""
         if self._reading and self._events is not None:
             self._body_transport().resumeProducing()
 
     def cancel(self) -> None:
-        """Give the attempt up and close its connection; no event follows."""
+        """Cancel the attempt and close its connection; no event follows."""
         if self._events is None:
             return
         self._close()
@@ -234,13 +234,13 @@
                 self._pending.cancel()
             return
         if not self._reading:
-            # A transport that stays paused until someone reads the body would never notice the
-            # close of its peer and would leak its socket.
+            # The transport is paused until the body is read. If it stayed paused, it would never
+            # notice that its peer closes, and the socket would leak.
             self._response.deliverBody(self)
         self._body_transport().loseConnection()
 
     def discard_body(self) -> None:
-        """Say no more of this attempt, but read its body so that the connection can be kept."""
+        """End the attempt without an event, but read its body to keep the connection usable."""
         self._close()
         if self._response is not None:
             self._response.deliverBody(self)
@@ -253,14 +253,14 @@
             events.attempt_failed(failed)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take a part of the body from Twisted."""
+        """Receive a part of the body from Twisted."""
         if self._events is None:
             return
         self._received += len(data)
         self._events.data_received(data)
 
     def connectionLost(self, reason: TwistedFailure = connectionDone) -> None:  # noqa: N802
-        """Take the end of the body from Twisted; only a body known to be whole counts as ended."""
+        """Handle the end of the body; unless it is known to be complete, the attempt fails."""
         events = self._events
         if events is None:
             return
@@ -268,8 +268,9 @@
             self._close()
             events.body_ended()
             return
-        # A body that only the end of its connection ends can't be told from one that was cut, so
-        # it is passed on as cut: a caller must never take half a chart pack for a whole one.
+        # A body that is delimited only by the end of its connection can't be distinguished from a
+        # truncated one, so it counts as truncated: a caller must never take half of a chart pack
+        # for a complete one.
         detail = "no length" if reason.check(PotentialDataLoss) else _reason(reason)
         crashed = not reason.check(PotentialDataLoss)
         self.fail(AttemptError(Failure.CUT_SHORT, detail, crashed))
@@ -277,14 +278,14 @@
     def _body_transport(self) -> BodyTransport:
         return cast(BodyTransport, self.transport)
 
-    def _head(self, response: Response) -> None:
+    def _head_arrived(self, response: Response) -> None:
         self._response = response
         if self._events is None:
             return
         self._length = response.length if isinstance(response.length, int) else None
         self._events.head_received(AnswerHead(response.code, response.headers, self._length))
 
-    def _no_head(self, reason: TwistedFailure) -> None:
+    def _head_failed(self, reason: TwistedFailure) -> None:
         if self._events is None:
             return
         if reason.check(RequestNotSent) or not self.handed_over:
@@ -297,8 +298,8 @@
     def _close(self) -> None:
         """End the attempt, once.
 
-        The listener is let go here. It holds this attempt too, and such a pair would stay in memory
-        until a garbage collection, which makes every caller wait.
+        Drop the reference to the receiver of events. It refers to this attempt too, and such a
+        cycle would stay in memory until a garbage collection, during which every caller waits.
         """
         if self._events is None:
             return
@@ -311,11 +312,11 @@
 
 
 class _HandoverPool:
-    """The pool as one attempt sees it: notes when a connection is given to the request.
+    """Wrapper of the pool for one attempt that records when the request is given a connection.
 
-    A request handed to a connection may have been run, however the connection then fails. If it
-    were called not sent, a booking could be sent twice. Noting the handover before Twisted writes
-    the first byte leaves no gap between the two.
+    From then on the request may have been run, however the connection fails. If it were reported as
+    not sent, a booking could be sent twice. The handover is recorded before Twisted writes the
+    first byte, so there is no gap between the two.
     """
 
     persistent = True
@@ -327,18 +328,18 @@
     def getConnection(  # noqa: N802
         self, key: object, endpoint: IStreamClientEndpoint
     ) -> Deferred[HTTP11ClientProtocol]:
-        """Return a kept or new connection."""
+        """Return an idle or a new connection."""
         waiting = self._pool.getConnection(key, endpoint)
-        return waiting.addCallback(self._hand_over)
+        return waiting.addCallback(self._record_handover)
 
-    def _hand_over(self, connection: HTTP11ClientProtocol) -> HTTP11ClientProtocol:
+    def _record_handover(self, connection: HTTP11ClientProtocol) -> HTTP11ClientProtocol:
         self._attempt.handed_over = True
         return connection
 
 
 @implementer(IBodyProducer)
-class _WholeBody:
-    """A request body that is in memory already."""
+class _BufferedBody:
+    """Produces a request body that is completely in memory."""
 
     def __init__(self, body: bytes) -> None:
         self._body = body
@@ -359,7 +360,7 @@
 
 
 def _reason(reason: TwistedFailure) -> str:
-    """Return what went wrong, with the reasons that Twisted wraps."""
+    """Return the class names of the errors that Twisted wraps, or of the error itself."""
     inner = getattr(reason.value, "reasons", None)
     if inner:
         return ", ".join(type(item.value).__name__ for item in inner)
--- a/briarspur/carry.py
+++ b/briarspur/carry.py
@@ -249,8 +249,8 @@
         remaining = action.deadline - self._clock.seconds()
         if isinstance(action, Forward):
             return forward_request(action, open_request, remaining, self._settings.entry_id)
-        most_open = self._settings.connections_of(action.target.target_id)
-        return dispatch_request(action, open_request, remaining, most_open)
+        max_open = self._settings.connections_of(action.target.target_id)
+        return dispatch_request(action, open_request, remaining, max_open)
 
     def _begin(self, action: Begin) -> None:
         attempt = self._attempts_by_id.get(action.attempt_id)
--- a/briarspur/outgoing.py
+++ b/briarspur/outgoing.py
@@ -1,4 +1,4 @@
-"""Makes the request that is sent for an action: to a backend server, or to another entry."""
+"""Builds the outgoing request of an action, to a backend server or another entry."""
 
 from twisted.web.http_headers import Headers
 
@@ -10,42 +10,42 @@
 
 __all__ = ["dispatch_request", "forward_request"]
 
-MOST_FORWARDS = 350
-"""Requests open to one other entry at once."""
+MAX_OPEN_FORWARDS = 350
+"""Maximum of concurrent requests to one other entry."""
 
 
 def dispatch_request(
-    action: Dispatch, open_request: OpenRequest, remaining: float, most_open: int
+    action: Dispatch, open_request: OpenRequest, remaining: float, max_open: int
 ) -> Outgoing:
-    """Return the request to a backend server.
+    """Build the request to a backend server.
 
     Parameters
     ----------
     remaining : float
         Seconds until the deadline.
-    most_open : int
-        Requests that may be open to the target at once.
+    max_open : int
+        Maximum of concurrent requests to the target.
     """
-    headers = _headers(action, open_request)
-    headers.setRawHeaders(names.TIMEOUT_MS, [_milliseconds(remaining)])
-    return _outgoing(action.target.host, action.target.port, open_request, headers, most_open)
+    headers = _build_headers(action, open_request)
+    headers.setRawHeaders(names.TIMEOUT_MS, [_format_ms(remaining)])
+    return _build_outgoing(action.target.host, action.target.port, open_request, headers, max_open)
 
 
 def forward_request(
     action: Forward, open_request: OpenRequest, remaining: float, sender_id: str
 ) -> Outgoing:
-    """Return the request to another entry; ``remaining`` seconds until the deadline."""
-    headers = _headers(action, open_request)
+    """Build the request to another entry; ``remaining`` is the time to the deadline in seconds."""
+    headers = _build_headers(action, open_request)
     headers.setRawHeaders(names.FORWARDED_BY, [sender_id.encode()])
-    headers.setRawHeaders(names.DEADLINE_MS, [_milliseconds(remaining)])
+    headers.setRawHeaders(names.DEADLINE_MS, [_format_ms(remaining)])
     headers.setRawHeaders(names.BLOCK, [b"%d" % open_request.request.block])
     if action.dispatch_only:
         headers.setRawHeaders(names.DISPATCH_ONLY, [b"1"])
     entry = action.entry
-    return _outgoing(entry.host, entry.forward_port, open_request, headers, MOST_FORWARDS)
+    return _build_outgoing(entry.host, entry.forward_port, open_request, headers, MAX_OPEN_FORWARDS)
 
 
-def _headers(action: Dispatch | Forward, open_request: OpenRequest) -> Headers:
+def _build_headers(action: Dispatch | Forward, open_request: OpenRequest) -> Headers:
     headers = names.request_headers(open_request.inbound.headers)
     headers.setRawHeaders(names.REQUEST_ID, [open_request.request.request_id.encode()])
     first = open_request.first_head
@@ -56,8 +56,8 @@
     return headers
 
 
-def _outgoing(
-    host: str, port: int, open_request: OpenRequest, headers: Headers, most_open: int
+def _build_outgoing(
+    host: str, port: int, open_request: OpenRequest, headers: Headers, max_open: int
 ) -> Outgoing:
     request = open_request.request
     return Outgoing(
@@ -67,9 +67,9 @@
         uri=request.path.encode(),
         headers=headers,
         body=open_request.inbound.body,
-        most_open=most_open,
+        max_open=max_open,
     )
 
 
-def _milliseconds(remaining: float) -> bytes:
+def _format_ms(remaining: float) -> bytes:
     return b"%d" % max(1, int(remaining * 1000))
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -1,4 +1,4 @@
-"""Tests of the client side and of how answers are carried back to callers."""
+"""Tests of the HTTP client: how failures are classified and when a body is complete."""
 
 import asyncio
 import socket
@@ -13,7 +13,7 @@
 
 
 class Recorder:
-    """Events of one attempt, and the attempt itself."""
+    """Records the events of one attempt and reads its body."""
 
     def __init__(self) -> None:
         self.head: AnswerHead | None = None
@@ -40,10 +40,10 @@
         return self.ended or self.failed is not None
 
 
-def outgoing(port: int, method: bytes = b"GET", body: bytes = b"", most_open: int = 9) -> Outgoing:
+def outgoing(port: int, method: bytes = b"GET", body: bytes = b"", max_open: int = 9) -> Outgoing:
     from twisted.web.http_headers import Headers
 
-    return Outgoing(HOST, port, method, b"/times/", Headers(), body, most_open)
+    return Outgoing(HOST, port, method, b"/times/", Headers(), body, max_open)
 
 
 async def send(client: BackendClient, request: Outgoing) -> Recorder:
@@ -54,8 +54,8 @@
     return recorder
 
 
-class ProofTest(LoopTestCase):
-    """Only what surely was not sent is called so."""
+class FailureTest(LoopTestCase):
+    """An attempt is reported as not sent only if that is certain."""
 
     def failure(self, script: object, method: bytes = b"GET") -> AttemptError:
         async def work() -> AttemptError:
@@ -102,7 +102,7 @@
         self.assertIs(recorder.failed.failure, Failure.NOT_SENT)
         self.assertFalse(recorder.failed.crashed)
 
-    def test_connections_of_a_target_are_bounded(self) -> None:
+    def test_open_requests_to_a_target_are_limited(self) -> None:
         async def work() -> None:
             async def silent(connection: Connection, head: bytes) -> None:
                 await asyncio.sleep(60)
@@ -110,8 +110,8 @@
             client = BackendClient(the_reactor())
             async with RawBackend(silent) as backend:
                 first = Recorder()
-                first.attempt = client.send(outgoing(backend.port, most_open=1), first)
-                second = await send(client, outgoing(backend.port, most_open=1))
+                first.attempt = client.send(outgoing(backend.port, max_open=1), first)
+                second = await send(client, outgoing(backend.port, max_open=1))
                 assert second.failed is not None
                 self.assertIs(second.failed.failure, Failure.NOT_SENT)
                 await eventually(lambda: len(backend.heads) == 1)
@@ -128,24 +128,24 @@
         self.assertIs(failed.failure, Failure.LOST)
         self.assertTrue(failed.crashed)
 
-    def test_garbage_in_place_of_an_answer_is_lost(self) -> None:
+    def test_malformed_answer_is_lost(self) -> None:
         async def garbage(connection: Connection, head: bytes) -> None:
             connection.send(b"what\r\n\r\n")
 
         self.assertIs(self.failure(garbage).failure, Failure.LOST)
 
-    def test_kept_connection_closed_after_the_request_is_lost_not_repeated(self) -> None:
-        """A passenger confirms a booking, and two boats come.
+    def test_loss_of_a_persistent_connection_after_the_request_is_not_retried(self) -> None:
+        """Guard against a booking that the connection pool silently sends twice.
 
-        The backend server reads the booking from a kept connection, records it, and closes the
-        connection without an answer. Twisted's pool would send some methods again by itself on a
-        new connection; the second sending is recorded as well, and nothing shows it.
+        The backend server reads a booking from a persistent connection, records it, and closes the
+        connection without an answer. By default, Twisted's pool resends some methods on a new
+        connection; the backend server records the booking again, and no log shows it.
         """
         for method in (b"POST", b"GET", b"DELETE"):
             with self.subTest(method=method):
-                self._closed_kept_connection(method)
+                self._check_lost_connection(method)
 
-    def _closed_kept_connection(self, method: bytes) -> None:
+    def _check_lost_connection(self, method: bytes) -> None:
         async def work() -> None:
             async def answer_once(connection: Connection, head: bytes) -> None:
                 if len(backend.heads) == 1:
@@ -167,8 +167,8 @@
         self.run_on_loop(work())
 
 
-class WholeAnswerTest(LoopTestCase):
-    """A body that ends short never counts as whole."""
+class BodyEndTest(LoopTestCase):
+    """A truncated body never counts as complete."""
 
     def body(self, *parts: bytes) -> Recorder:
         async def work() -> Recorder:
@@ -182,22 +182,24 @@
 
         return self.run_on_loop(work())
 
-    def expect_cut(self, *parts: bytes) -> None:
+    def expect_truncated(self, *parts: bytes) -> None:
         recorder = self.body(*parts)
         self.assertFalse(recorder.ended)
         assert recorder.failed is not None
         self.assertIs(recorder.failed.failure, Failure.CUT_SHORT)
 
-    def test_short_body_is_cut(self) -> None:
-        self.expect_cut(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", b"short")
+    def test_body_shorter_than_its_length_is_truncated(self) -> None:
+        self.expect_truncated(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", b"short")
 
-    def test_unfinished_chunks_are_cut(self) -> None:
-        self.expect_cut(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"5\r\nshort\r\n")
+    def test_chunked_body_without_the_last_chunk_is_truncated(self) -> None:
+        self.expect_truncated(
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"5\r\nshort\r\n"
+        )
 
-    def test_body_without_a_length_cannot_be_told_from_a_cut_one(self) -> None:
-        self.expect_cut(b"HTTP/1.1 200 OK\r\n\r\n", b"who knows")
+    def test_body_without_a_length_counts_as_truncated(self) -> None:
+        self.expect_truncated(b"HTTP/1.1 200 OK\r\n\r\n", b"who knows")
 
-    def test_whole_bodies(self) -> None:
+    def test_complete_bodies(self) -> None:
         whole = self.body(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", b"whole")
         self.assertEqual((whole.body, whole.ended), (b"whole", True))
         chunks = b"5\r\nwhole\r\n0\r\n\r\n"
