--- a/briarspur/callerrequest.py
+++ b/briarspur/callerrequest.py
@@ -17,15 +17,15 @@
 from briarspur.messages import Request
 from briarspur.refusal import Answer, Refusal, refusal_answer
 
-__all__ = ["Arrivals", "CarriedRequest", "RequestOwner"]
+__all__ = ["RequestHandler", "CarriedRequest", "RequestOwner"]
 
 NO_BODY = frozenset({204, 304})
 
 
-class Arrivals(Protocol):
-    """Who takes requests; :class:`briarspur.carry.Carrier` in a daemon."""
+class RequestHandler(Protocol):
+    """Who takes requests; :class:`briarspur.requestdriver.RequestDriver` in a daemon."""
 
-    def arrive(self, inbound: InboundRequest) -> None:
+    def handle(self, inbound: InboundRequest) -> None:
         """Take a request; its caller hears of the answer."""
 
     def caller_gone(self, request_id: str) -> None:
@@ -36,7 +36,7 @@
     """The server of an exchange."""
 
     @property
-    def arrivals(self) -> Arrivals:
+    def request_handler(self) -> RequestHandler:
         """Who takes requests."""
 
     def refused(self, refusal: Refusal) -> None:
@@ -57,7 +57,7 @@
         super().connectionLost(reason)
         waiting_id, self._waiting_id = self._waiting_id, None
         if waiting_id is not None:
-            self._owner.arrivals.caller_gone(waiting_id)
+            self._owner.request_handler.caller_gone(waiting_id)
 
     def begin(self, head: AnswerHead, from_entry: bool, flow: Flow) -> None:
         """Send the head of an answer; ``flow`` is slowed while the caller does not read."""
@@ -125,7 +125,7 @@
         request = read.ok
         self.request_id = request.request_id
         self._waiting_id = request.request_id
-        self._owner.arrivals.arrive(InboundRequest(request, raw.headers, raw.body, self))
+        self._owner.request_handler.handle(InboundRequest(request, raw.headers, raw.body, self))
 
     def _send_head(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> None:
         self.setResponseCode(status)
--- a/briarspur/entry.py
+++ b/briarspur/entry.py
@@ -14,7 +14,6 @@
 
 from briarspur import logs
 from briarspur.backend import BackendClient
-from briarspur.carry import Carrier, CarrySettings
 from briarspur.coord.address import Address
 from briarspur.coord.claims import Claims
 from briarspur.coord.errors import StoreConflictError, StoreError
@@ -36,6 +35,7 @@
 from briarspur.peering import Peering, PeeringTimes
 from briarspur.peers import PeerClient, PeerServer
 from briarspur.plan import PLAN_NAME
+from briarspur.requestdriver import DriverSettings, RequestDriver
 from briarspur.revision import POLICY_NAME
 from briarspur.server import EntryServer, ServerSettings
 from briarspur.settings import EntrySettings
@@ -89,7 +89,7 @@
         self.node.on_core = self._core_made
         self._follow = self._make_follow()
         self.node.is_current = lambda: self._follow.is_ready(POLICY_NAME)
-        self._carrier: Carrier | None = None
+        self._driver: RequestDriver | None = None
         self._server = EntryServer(
             self._reactor,
             NotReady(),
@@ -166,7 +166,7 @@
 
     def open_requests(self) -> int:
         """Return how many requests have not ended."""
-        return self._carrier.open_requests if self._carrier is not None else 0
+        return self._driver.open_requests if self._driver is not None else 0
 
     async def close_server(self) -> None:
         """Take no new connections."""
@@ -199,15 +199,15 @@
     # Wiring
 
     def _core_made(self, core: Core) -> None:
-        """Carry requests from now on."""
+        """Run requests from now on."""
         claims = Claims(self.store, self._incarnation, secrets.token_urlsafe)
-        settings = CarrySettings(
+        settings = DriverSettings(
             self.settings.entry_id,
             self.settings.limits.remembered_answer_bytes,
             self._connections_of,
             self._clock.wall,
         )
-        self._carrier = Carrier(
+        self._driver = RequestDriver(
             core,
             self._client,
             self._reactor,
@@ -216,13 +216,13 @@
             settings,
             self.node.pacing,
         )
-        self.node.on_actions = self._carrier.carry_out
+        self.node.on_actions = self._driver.carry_out
         # A full collection walks every object, those of the imported modules above all, and all
         # callers wait meanwhile. What is alive by now lives as long as the process, so it is left
         # out from here on.
         gc.collect()
         gc.freeze()
-        self._server.arrivals = self._carrier
+        self._server.request_handler = self._driver
         self._peering = self._make_peering(core)
         self._peering.show_view()
         self._peer_server = PeerServer(self._peering)
--- a/briarspur/interfaces.py
+++ b/briarspur/interfaces.py
@@ -1,4 +1,4 @@
-"""The interfaces that the carrier of requests uses: core, sender, clock, key store, pacing."""
+"""The interfaces that the driver of requests uses: core, sender, clock, key store, pacing."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/briarspur/keystore.py
+++ b/briarspur/keystore.py
@@ -1,4 +1,4 @@
-"""Claims and left outcomes of keys, as the carrier of requests asks for them."""
+"""Claims and left outcomes of keys, as the driver of requests asks for them."""
 
 import math
 import time
--- a/briarspur/node.py
+++ b/briarspur/node.py
@@ -206,7 +206,7 @@
         home = self._blocks.home(block)
         return self._lookups.answer(service, block, home, self._clock.wall())
 
-    # What the carrier tells
+    # What the driver reports
 
     def arrived(self, request: Request) -> None:
         """Count a request of a caller; what another entry sent on was counted there."""
--- a/briarspur/notready.py
+++ b/briarspur/notready.py
@@ -12,7 +12,7 @@
 class NotReady:
     """Takes requests before there is a policy."""
 
-    def arrive(self, inbound: InboundRequest) -> None:
+    def handle(self, inbound: InboundRequest) -> None:
         """Refuse a request at once."""
         # Another entry may have run an earlier copy of a keyed request, so only one without a key
         # may be called not run here.
--- a/briarspur/carry.py
+++ b/briarspur/requestdriver.py
@@ -1,4 +1,4 @@
-"""Carries requests: holds the open ones, tells the core what happens, carries out its actions."""
+"""Runs requests: keeps the open ones, reports events to the core and carries out its actions."""
 
 import asyncio
 import logging
@@ -41,34 +41,37 @@
 from briarspur.outgoing import dispatch_request, forward_request
 from briarspur.refusal import Answer, Refusal
 
-__all__ = ["Carrier", "CarrySettings", "DecisionCore"]
+__all__ = ["DecisionCore", "DriverSettings", "RequestDriver"]
 
-TICK = 0.05
-"""Seconds between two ticks of the core at most, while anything is open."""
+MAX_TICK_S = 0.05
+"""Maximum time between two ticks of the core while any request is open."""
 
 
 @dataclass(frozen=True, slots=True)
-class CarrySettings:
-    """What a carrier needs to know of its entry.
+class DriverSettings:
+    """Settings of a driver.
 
     Attributes
     ----------
-    most_kept : int
-        Size in bytes up to which an answer is remembered.
-    connections_of : callable
-        Bound on open connections to a target, by its id.
+    max_kept_bytes : int
+        Maximum size of an answer that is kept for repeats of its request.
+    connection_limit : callable
+        Returns the maximum of open connections to a target, given its id.
     wall : callable
-        Returns unix time in seconds.
+        Returns Unix time in seconds.
     """
 
     entry_id: str
-    most_kept: int
-    connections_of: Callable[[str], int]
+    max_kept_bytes: int
+    connection_limit: Callable[[str], int]
     wall: Callable[[], float] = time.time
 
 
-class Carrier:
-    """Holds the open requests of one entry; its methods are called on the one loop only."""
+class RequestDriver:
+    """Runs the open requests of one entry.
+
+    All methods must be called in the event loop's thread.
+    """
 
     def __init__(
         self,
@@ -77,7 +80,7 @@
         clock: Clock,
         keys: KeyStore,
         observer: CarryObserver,
-        settings: CarrySettings,
+        settings: DriverSettings,
         pacer: RegionPacer | None = None,
     ) -> None:
         self._core = core
@@ -91,16 +94,16 @@
         self._attempts_by_id: dict[int, OpenAttempt] = {}
         self._actions: deque[Action] = deque()
         self._carrying_out = False
-        self._wake: DelayedCall | None = None
+        self._next_tick: DelayedCall | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def open_requests(self) -> int:
-        """Requests that wait for an answer or run on without their caller."""
+        """Number of requests that wait for an answer or continue without their caller."""
         return len(self._requests_by_id)
 
-    def arrive(self, inbound: InboundRequest) -> None:
-        """Take a request from the server; its caller hears of the answer."""
+    def handle(self, inbound: InboundRequest) -> None:
+        """Pass a request of the server to the core; the answer is sent to its caller."""
         now = self._clock.seconds()
         request = inbound.request
         self._requests_by_id[request.request_id] = OpenRequest(inbound, now, inbound.caller)
@@ -108,29 +111,29 @@
         self.carry_out(self._core.request_arrived(request, now, self._settings.wall()))
 
     def caller_gone(self, request_id: str) -> None:
-        """Note that a caller's connection is lost."""
+        """Report that a caller has disconnected."""
         open_request = self._requests_by_id.get(request_id)
         if open_request is None or open_request.caller is None:
             return
         open_request.caller = None
-        # The answer of a once-only request must still be recorded: its attempts run on, reading
-        # at full speed, since a caller that is gone would hold them for ever.
+        # The answer of a once-only request must still be recorded, so its attempts continue. They
+        # read at full speed, since they would otherwise wait forever for the caller that is gone.
         for attempt in open_request.attempts_by_id.values():
             attempt.resume("caller")
         self.carry_out(self._core.caller_gone(request_id, self._clock.seconds()))
-        self._forget_if_done(open_request)
+        self._delete_if_done(open_request)
 
     def attempt_began(self, attempt: OpenAttempt, status: int) -> bool:
-        """Report the head; return whether the answer is to be passed on."""
+        """Report the head; return whether to relay the answer."""
         actions = self._core.answer_began(attempt.attempt_id, status, self._clock.seconds())
-        passing = any(isinstance(a, Begin) and a.attempt_id == attempt.attempt_id for a in actions)
-        if not passing:
+        relayed = any(isinstance(a, Begin) and a.attempt_id == attempt.attempt_id for a in actions)
+        if not relayed:
             self._remove(attempt)
         self.carry_out(actions)
-        return passing
+        return relayed
 
     def body_part_sent(self, attempt: OpenAttempt, size: int) -> None:
-        """Pace the link the bytes came over."""
+        """Account for the bytes on the link that they came over, and limit its rate."""
         action = attempt.action
         if not isinstance(action, Dispatch):
             return
@@ -140,29 +143,29 @@
             self._clock.callLater(pause, attempt.resume, "link")
 
     def target_leaving(self, target_id: str) -> None:
-        """Pass on that a backend server said it takes no new work."""
+        """Report that a backend server accepts no more requests."""
         self._observer.target_leaving(target_id)
 
     def attempt_ended(self, attempt: OpenAttempt, answer: Answer | None) -> None:
-        """Finish the caller's answer and report it."""
+        """End the answer to the caller and report it."""
         open_request = attempt.open_request
         self._remove(attempt)
         now = self._clock.seconds()
-        # The core comes first: finishing may take up the next request of the same connection.
+        # Call the core first: finishing may start the next request of the same connection.
         actions = self._core.answer_ended(
             attempt.attempt_id, answer, attempt.size, now, attempt.status
         )
         if open_request.caller is not None:
             open_request.caller.finish()
             open_request.caller = None
-            self._count(open_request, Code.ANSWERED)
+            self._count_answer(open_request, Code.ANSWERED)
         self.carry_out(actions)
-        self._forget_if_done(open_request)
+        self._delete_if_done(open_request)
 
     def attempt_failed(
         self, attempt: OpenAttempt, failure: Failure, retry_after: float | None, crashed: bool
     ) -> None:
-        """Report that no whole answer will come."""
+        """Report that there will be no complete answer."""
         open_request = attempt.open_request
         self._remove(attempt)
         actions = self._core.attempt_failed(
@@ -175,20 +178,21 @@
             crashed=crashed and not attempt.to_entry,
         )
         self.carry_out(actions)
-        self._forget_if_done(open_request)
+        self._delete_if_done(open_request)
 
     def tick(self) -> None:
-        """Let the core do what is due."""
-        self._wake = None
+        """End attempts that passed their deadline, and run the core's timed work."""
+        self._next_tick = None
         self._end_overdue()
         self.carry_out(self._core.tick(self._clock.seconds(), self._settings.wall()))
 
     def _end_overdue(self) -> None:
-        """End attempts whose deadline has passed, in whichever phase they are.
+        """End attempts whose deadline has passed, in any phase.
 
-        A silent backend server would hold its slot, and a caller that stopped reading its answer
-        would hold that slot for it; nobody would tell the caller. The bound on a region's work
-        rests on this too: what was taken from a borrowed part must end by then.
+        Otherwise a backend server that does not respond, or a caller that stopped reading its
+        answer, would occupy a slot, and the caller would get no final answer. The limit on a
+        region's requests depends on this too: a request that was admitted on a borrowed share must
+        end by its deadline.
         """
         now = self._clock.seconds()
         overdue = [a for a in self._attempts_by_id.values() if a.action.deadline <= now]
@@ -198,7 +202,7 @@
                 self.attempt_failed(attempt, Failure.DEADLINE, None, False)
 
     def carry_out(self, actions: list[Action]) -> None:
-        """Carry out actions in order; those of events met on the way come after them."""
+        """Carry out actions in order; actions of events that they cause come after them."""
         self._actions.extend(actions)
         if self._carrying_out:
             return
@@ -208,7 +212,7 @@
                 self._carry_out_one(self._actions.popleft())
         finally:
             self._carrying_out = False
-        self._schedule()
+        self._schedule_tick()
 
     def _carry_out_one(self, action: Action) -> None:
         match action:
@@ -225,31 +229,31 @@
             case Cancel():
                 self._cancel(action)
             case Claim():
-                self._start(self._claim(action))
+                self._start_task(self._claim(action))
             case FetchOutcome():
-                self._start(self._fetch_outcome(action))
+                self._start_task(self._fetch_outcome(action))
 
     def _send(self, action: Dispatch | Forward) -> None:
         open_request = self._requests_by_id.get(action.request_id)
         if open_request is None:
-            # Nobody waits for it any more, and no byte has left: the core is told just that.
+            # Its caller no longer waits, so the request is not sent; report just that.
             now = self._clock.seconds()
             self._actions.extend(
                 self._core.attempt_failed(action.attempt_id, Failure.NOT_SENT, now)
             )
             return
-        attempt = OpenAttempt(self, action, open_request, self._settings.most_kept)
+        attempt = OpenAttempt(self, action, open_request, self._settings.max_kept_bytes)
         open_request.attempts_by_id[action.attempt_id] = attempt
         self._attempts_by_id[action.attempt_id] = attempt
         if action.region:
             open_request.region = action.region
-        attempt.handle = self._sender.send(self._outgoing(action, open_request), attempt)
+        attempt.handle = self._sender.send(self._build_outgoing(action, open_request), attempt)
 
-    def _outgoing(self, action: Dispatch | Forward, open_request: OpenRequest) -> Outgoing:
+    def _build_outgoing(self, action: Dispatch | Forward, open_request: OpenRequest) -> Outgoing:
         remaining = action.deadline - self._clock.seconds()
         if isinstance(action, Forward):
             return forward_request(action, open_request, remaining, self._settings.entry_id)
-        max_open = self._settings.connections_of(action.target.target_id)
+        max_open = self._settings.connection_limit(action.target.target_id)
         return dispatch_request(action, open_request, remaining, max_open)
 
     def _begin(self, action: Begin) -> None:
@@ -262,7 +266,7 @@
         if open_request is None or open_request.caller is None:
             return
         open_request.caller.reply(action.answer, action.code)
-        self._answered(open_request, action.code)
+        self._finish(open_request, action.code)
 
     def _refuse(self, action: Refuse) -> None:
         open_request = self._requests_by_id.get(action.request_id)
@@ -270,16 +274,16 @@
             return
         refusal = _with_peer_code(action.refusal, open_request.peer_code)
         open_request.caller.refuse(refusal)
-        self._log("refused", open_request, refusal)
-        self._answered(open_request, refusal.code)
+        self._log_refusal("refused", open_request, refusal)
+        self._finish(open_request, refusal.code)
 
     def _abort(self, action: Abort) -> None:
         open_request = self._requests_by_id.get(action.request_id)
         if open_request is None or open_request.caller is None:
             return
         open_request.caller.abort(action.refusal)
-        self._log("failed", open_request, action.refusal)
-        self._answered(open_request, action.refusal.code)
+        self._log_refusal("failed", open_request, action.refusal)
+        self._finish(open_request, action.refusal.code)
 
     def _cancel(self, action: Cancel) -> None:
         attempt = self._attempts_by_id.get(action.attempt_id)
@@ -287,13 +291,13 @@
             return
         attempt.cancel()
         self._remove(attempt)
-        self._forget_if_done(attempt.open_request)
+        self._delete_if_done(attempt.open_request)
 
     async def _claim(self, action: Claim) -> None:
         try:
             settled = await self._keys.claim(action.key, action.body_digest)
         except Exception as error:
-            # Whatever went wrong, the claim may stand; only "unsettled" is surely not wrong.
+            # The claim may have been stored in spite of the error; only "unsettled" is always true.
             logs.event("internal-error", logging.ERROR, during="claim", error=repr(error))
             settled = SettledClaim(ClaimResult.UNSETTLED)
         now = self._clock.seconds()
@@ -310,7 +314,7 @@
             self._core.outcome_fetched(action.request_id, outcome.found, outcome.answer, now)
         )
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -319,20 +323,20 @@
         self._attempts_by_id.pop(attempt.attempt_id, None)
         attempt.open_request.attempts_by_id.pop(attempt.attempt_id, None)
 
-    def _answered(self, open_request: OpenRequest, code: Code) -> None:
-        self._count(open_request, code)
+    def _finish(self, open_request: OpenRequest, code: Code) -> None:
+        self._count_answer(open_request, code)
         open_request.caller = None
-        self._forget_if_done(open_request)
+        self._delete_if_done(open_request)
 
-    def _forget_if_done(self, open_request: OpenRequest) -> None:
+    def _delete_if_done(self, open_request: OpenRequest) -> None:
         if open_request.caller is None and not open_request.attempts_by_id:
             self._requests_by_id.pop(open_request.request.request_id, None)
 
-    def _count(self, open_request: OpenRequest, code: Code) -> None:
+    def _count_answer(self, open_request: OpenRequest, code: Code) -> None:
         seconds = self._clock.seconds() - open_request.arrived
         self._observer.answered(open_request.request, open_request.region, code, seconds)
 
-    def _log(self, event: str, open_request: OpenRequest, refusal: Refusal) -> None:
+    def _log_refusal(self, event: str, open_request: OpenRequest, refusal: Refusal) -> None:
         logs.event(
             event,
             code=int(refusal.code),
@@ -342,24 +346,24 @@
             detail=refusal.detail or None,
         )
 
-    def _schedule(self) -> None:
-        """See that the core is called again in time while anything is open."""
+    def _schedule_tick(self) -> None:
+        """Schedule the next tick while any request is open."""
         now = self._clock.seconds()
         due = self._core.next_wake(now)
         if due is None and not self._requests_by_id:
             return
-        due = now + TICK if due is None else min(max(due, now), now + TICK)
-        if self._wake is None:
-            self._wake = self._clock.callLater(due - now, self.tick)
-        elif self._wake.getTime() > due:
-            self._wake.reset(due - now)
+        due = now + MAX_TICK_S if due is None else min(max(due, now), now + MAX_TICK_S)
+        if self._next_tick is None:
+            self._next_tick = self._clock.callLater(due - now, self.tick)
+        elif self._next_tick.getTime() > due:
+            self._next_tick.reset(due - now)
 
 
 def _with_peer_code(refusal: Refusal, peer_code: Code | None) -> Refusal:
-    """Return the refusal with the more exact code of the entry it was forwarded to.
+    """Return the refusal with the more specific code of the entry it was forwarded to.
 
-    The code may change only to one that says the same of whether the request was run: what the
-    core knows of all attempts goes before what one entry knows of its own.
+    The two codes must agree on whether the request was run: what the core knows of all attempts
+    takes precedence over what one entry knows of its own.
     """
     if peer_code is None or CODES[peer_code].ran is not CODES[refusal.code].ran:
         return refusal
--- a/briarspur/server.py
+++ b/briarspur/server.py
@@ -9,7 +9,7 @@
 from twisted.web.http import HTTPChannel
 
 from briarspur import logs
-from briarspur.callerrequest import Arrivals, CarriedRequest
+from briarspur.callerrequest import CarriedRequest, RequestHandler
 from briarspur.channel import ChannelClock, ChannelFactory
 from briarspur.codes import Code
 from briarspur.inbound import read_forwarded, read_lookup, read_request
@@ -91,13 +91,13 @@
     def __init__(
         self,
         reactor: "PortReactor",
-        arrivals: Arrivals,
+        request_handler: RequestHandler,
         lookup: Lookup,
         pages: StatusPages,
         metrics: Metrics,
         settings: ServerSettings,
     ) -> None:
-        self.arrivals: Arrivals = arrivals
+        self.request_handler: RequestHandler = request_handler
         self.lookup = lookup
         self.pages = pages
         self.clock: ChannelClock = reactor
--- a/tests/httpfakes.py
+++ b/tests/httpfakes.py
@@ -7,7 +7,6 @@
 from expression import Ok, Result
 
 from briarspur.backend import BackendClient
-from briarspur.carry import Carrier, CarrySettings
 from briarspur.codes import Code
 from briarspur.interfaces import FetchedOutcome
 from briarspur.limitsettings import LimitSettings
@@ -27,6 +26,7 @@
 )
 from briarspur.metrics import NullMetrics
 from briarspur.refusal import Answer, Refusal
+from briarspur.requestdriver import DriverSettings, RequestDriver
 from briarspur.server import EntryServer, ServerSettings
 from tests.loop import the_reactor
 
@@ -240,7 +240,7 @@
 
 
 class Front:
-    """Server, carrier and client of an entry around a core; a context manager."""
+    """Server, driver and client of an entry around a core; a context manager."""
 
     def __init__(
         self,
@@ -255,13 +255,13 @@
         self.core = core
         self.limits = limits or LimitSettings()
         self.client = client or BackendClient(the_reactor())
-        settings = CarrySettings(
+        settings = DriverSettings(
             "entry-1", self.limits.remembered_answer_bytes, lambda target_id: connections
         )
-        self.carrier = Carrier(core, self.client, the_reactor(), FakeKeys(), self, settings)
+        self.driver = RequestDriver(core, self.client, the_reactor(), FakeKeys(), self, settings)
         self.server = EntryServer(
             the_reactor(),
-            self.carrier,
+            self.driver,
             self.look_up,
             self,
             NullMetrics(),
--- a/tests/test_keystore.py
+++ b/tests/test_keystore.py
@@ -1,4 +1,4 @@
-"""Tests of claims and outcomes as the carrier asks for them."""
+"""Tests of claims and outcomes as the driver asks for them."""
 
 import asyncio
 import unittest
--- a/tests/test_carry.py
+++ b/tests/test_requestdriver.py
@@ -1,4 +1,4 @@
-"""Tests of how requests are carried: answers, failures and callers that leave."""
+"""Tests of the request driver: answers, failures and callers that disconnect."""
 
 import asyncio
 import json
@@ -25,7 +25,7 @@
 
 
 class FailureTest(LoopTestCase):
-    """What a caller sees of an attempt that fails."""
+    """What a caller receives when an attempt fails."""
 
     def read(self, script: object, core: DirectCore) -> Read:
         async def work() -> Read:
@@ -33,23 +33,23 @@
                 core.target = backend.address
                 async with Front(core) as front, RawCaller(front.caller_port) as caller:
                     read = await caller.get(b"/times/")
-                    await eventually(lambda: front.carrier.open_requests == 0)
+                    await eventually(lambda: front.driver.open_requests == 0)
                     return read
 
         return self.run_on_loop(work())
 
-    def test_shed_is_told_as_not_run(self) -> None:
+    def test_shed_request_is_reported_as_not_run(self) -> None:
         core = DirectCore(None)  # type: ignore[arg-type]
         read = self.read(shed, core)
         self.assertEqual(json.loads(read.body)["ran"], "no")
         self.assertEqual(read.headers[b"retry-after"], b"3")
         self.assertEqual(core.events, [("failed", Failure.SHED, 3.0, 0, False, False)])
 
-    def test_504_of_a_backend_server_is_a_passed_deadline(self) -> None:
-        """A passenger's page says 'whole answer' over an empty timetable.
+    def test_504_of_a_backend_server_counts_as_a_passed_deadline(self) -> None:
+        """Guard against an empty timetable that is shown as a complete answer.
 
-        The backend server gives up at the deadline it was sent and answers 504, which was passed on
-        as an answer with code 1000. Seen in a story on a busy machine.
+        A backend server that misses the deadline that it was sent answers 504. On a busy machine,
+        such a 504 was relayed as an answer with code 1000.
         """
 
         async def too_late(connection: Connection, head: bytes) -> None:
@@ -68,24 +68,24 @@
         read = self.read(unavailable, core)
         self.assertEqual((read.status, read.headers[b"briarspur-ran"]), (503, b"yes"))
 
-    def test_short_body_cuts_the_caller(self) -> None:
-        """A chart pack that ends half-way must not look complete to the harbour office.
+    def test_truncated_body_resets_the_connection_of_the_caller(self) -> None:
+        """Guard against a truncated download that looks complete to the caller.
 
-        The backend server dies during the download. The caller's connection is reset, so that its
-        own check of the length fails.
+        The backend server crashes during the download. The caller's connection is reset, so that
+        its own check of the length fails.
         """
         core = DirectCore(None)  # type: ignore[arg-type]
         read = self.read(short, core)
         self.assertTrue(read.cut)
         self.assertEqual(core.events[-1], ("failed", Failure.CUT_SHORT, None, 5, False, True))
 
-    def test_short_answer_that_is_kept_is_refused_whole(self) -> None:
+    def test_truncated_answer_that_is_to_be_kept_is_refused(self) -> None:
         core = DirectCore(None, keep_answer=True)  # type: ignore[arg-type]
         read = self.read(short, core)
         self.assertEqual(json.loads(read.body)["name"], "OUTCOME_UNKNOWN")
         self.assertEqual(core.events, [("failed", Failure.CUT_SHORT, None, 0, False, True)])
 
-    def test_answer_that_is_not_begun_is_dropped(self) -> None:
+    def test_answer_that_the_core_does_not_begin_is_dropped(self) -> None:
         async def work() -> None:
             async def late(connection: Connection, head: bytes) -> None:
                 connection.send_answer(b"late")
@@ -101,11 +101,11 @@
 
         self.run_on_loop(work())
 
-    def test_cut_download_is_resumed(self) -> None:
-        """A backend server dies during a download, and the architect notices nothing.
+    def test_truncated_download_is_resumed(self) -> None:
+        """A download continues after a backend server crashes in the middle of it.
 
-        The first server sends half of a file with a strong entity tag. The rest is asked for by
-        Range and If-Range, and the caller reads one whole body.
+        The first answer ends after half of a file with a strong entity tag. The rest is requested
+        with Range and If-Range, and the caller reads one complete body.
         """
 
         async def work() -> Read:
@@ -131,11 +131,12 @@
         read = self.run_on_loop(work())
         self.assertEqual((read.status, read.body, read.cut), (200, b"0123456789", False))
 
-    def test_rest_of_another_file_is_not_joined(self) -> None:
-        """A plan set is replaced between two halves of a download.
+    def test_rest_of_a_replaced_file_is_not_appended(self) -> None:
+        """Guard against a download that joins the halves of two versions of a file.
 
-        Joined, the halves would be a file of the right length that was never published. The
-        second server answers with another entity tag, so the caller's connection is cut.
+        The file is replaced between the two halves. Joined, they would have the right length, but
+        such a file was never published. The second answer has another entity tag, so the caller's
+        connection is reset.
         """
 
         async def work() -> Read:
@@ -158,7 +159,7 @@
 
 
 class DeadlineTest(LoopTestCase):
-    """Nothing is held past its deadline."""
+    """No attempt stays open after its deadline."""
 
     def read(self, script: object) -> tuple[Read, DirectCore]:
         async def work() -> tuple[Read, DirectCore]:
@@ -172,17 +173,18 @@
 
         return self.run_on_loop(work())
 
-    def test_silent_backend_server(self) -> None:
-        """A backend server hangs, and a family waits on the pontoon without a word.
+    def test_backend_server_that_never_answers(self) -> None:
+        """Guard against a caller that waits forever for a backend server that hangs.
 
-        It took the request and says nothing, its connection stays open. The caller must get a
-        final answer at its deadline, and the backend server must see that nobody waits any more.
+        The backend server reads the request, does not answer, and keeps its connection open. The
+        caller must get a final answer at its deadline, and the connection to the backend server
+        must be closed.
         """
         read, core = self.read(silent)
         self.assertEqual(json.loads(read.body)["ran"], "unknown")
         self.assertEqual(core.events, [("failed", Failure.DEADLINE, None, 0, False, False)])
 
-    def test_body_that_stops_half_way(self) -> None:
+    def test_body_that_stalls_half_way(self) -> None:
         async def half(connection: Connection, head: bytes) -> None:
             connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf")
             await connection.reader.read()
@@ -210,8 +212,8 @@
         self.run_on_loop(work())
 
 
-class LeavingCallerTest(LoopTestCase):
-    """A caller that leaves cancels what may be cancelled."""
+class DisconnectTest(LoopTestCase):
+    """The disconnect of a caller cancels its request, unless the answer must be recorded."""
 
     def test_idempotent_request_is_cancelled(self) -> None:
         async def work() -> None:
@@ -221,23 +223,24 @@
                     async with RawCaller(front.caller_port) as caller:
                         caller.writer.write(b"GET /times/ HTTP/1.1\r\n\r\n")
                         await eventually(lambda: bool(backend.heads))
-                    await eventually(lambda: front.carrier.open_requests == 0)
+                    await eventually(lambda: front.driver.open_requests == 0)
                     self.assertEqual(front.client.open_requests(), 0)
             self.assertEqual(core.events, [("gone",)])
 
         self.run_on_loop(work())
 
-    def test_once_only_request_runs_on_and_is_recorded(self) -> None:
-        """A skipper's telephone loses its connection while a booking is written.
+    def test_once_only_request_continues_and_is_recorded(self) -> None:
+        """Guard against a booking whose answer is lost when its caller disconnects.
 
-        The booking must run to its end, and its answer must be kept for the skipper's repeat.
+        The caller loses its connection while the booking is written. The attempt must run to its
+        end, and its answer must be kept for the caller's repeat.
         """
 
         async def work() -> None:
-            go_on = asyncio.Event()
+            finish = asyncio.Event()
 
             async def booking(connection: Connection, head: bytes) -> None:
-                await go_on.wait()
+                await finish.wait()
                 connection.send_answer(b"booked")
 
             async with RawBackend(booking) as backend:
@@ -247,21 +250,21 @@
                         caller.writer.write(b"POST /booking/ HTTP/1.1\r\n\r\n")
                         await eventually(lambda: bool(backend.heads))
                     await eventually(lambda: ("gone",) in core.events)
-                    go_on.set()
-                    await eventually(lambda: front.carrier.open_requests == 0)
+                    finish.set()
+                    await eventually(lambda: front.driver.open_requests == 0)
             self.assertEqual(core.events[-1], ("ended", b"booked", 6))
 
         self.run_on_loop(work())
 
 
 class BackpressureTest(LoopTestCase):
-    """A caller that reads slowly makes the backend server wait; nothing piles up here."""
+    """A caller that reads slowly makes the backend server wait; the entry does not buffer."""
 
     def test_slow_reader_pauses_the_backend_server(self) -> None:
-        """Ten harbour offices fetch chart packs over slow links, and the entry's memory is full.
+        """Guard against large answers that fill the entry's memory while callers read slowly.
 
-        Without backpressure the entry reads each pack at the backend's speed and keeps what its
-        caller has not read. The sum over all sockets' buffers bounds what may be under way here.
+        Without backpressure, the entry reads each answer at the speed of the backend server and
+        buffers what its caller has not read. The limit here is the sum of all sockets' buffers.
         """
 
         async def work() -> int:
@@ -290,7 +293,7 @@
 
         self.assertLess(self.run_on_loop(work()), 32_000_000)
 
-    def test_kept_answer_beyond_the_bound_is_passed_on_not_kept(self) -> None:
+    def test_answer_too_large_to_keep_is_relayed(self) -> None:
         async def work() -> None:
             async def large(connection: Connection, head: bytes) -> None:
                 connection.send_answer(CHUNK)
