--- a/briarspur/attempts.py
+++ b/briarspur/attempts.py
@@ -8,9 +8,9 @@
 from briarspur.answerhead import AnswerHead
 from briarspur.answers import Declined, is_continuation, is_draining, is_resumable, parse_declined
 from briarspur.backend import Attempt, AttemptError
+from briarspur.bufferedrequest import Flow
 from briarspur.codes import Code
 from briarspur.headers import answer_headers
-from briarspur.heldrequest import Flow
 from briarspur.messages import Dispatch, Failure, Forward, Request
 from briarspur.refusal import Answer, Refusal
 
--- a/briarspur/heldrequest.py
+++ b/briarspur/bufferedrequest.py
@@ -1,4 +1,4 @@
-"""A request that is read whole before it is taken, and the flow of its answer."""
+"""A request that is handled once its body is complete, and flow control of its answer."""
 
 import logging
 from typing import Protocol, cast
@@ -10,23 +10,23 @@
 from briarspur.codes import Code
 from briarspur.refusal import Refusal
 
-__all__ = ["Flow", "FlowProducer", "HeldRequest"]
+__all__ = ["Flow", "FlowProducer", "BufferedRequest"]
 
 
 class Flow(Protocol):
-    """What can be slowed while a caller reads slowly."""
+    """Producer of an answer that can be paused while the caller does not read."""
 
     def pause(self) -> None:
         """Stop producing."""
 
     def resume(self) -> None:
-        """Go on producing."""
+        """Resume producing."""
 
 
-class HeldRequest(Request):
-    """One request whose body is kept in memory, within the bound of its channel.
+class BufferedRequest(Request):
+    """One request whose body is buffered in memory, within the limits of its channel.
 
-    Twisted would write a body of over 100 kB to a temporary file, and the VMs have no disks.
+    By default, Twisted writes a body of over 100 kB to a temporary file, but the VMs have no disks.
     """
 
     def __init__(self, channel: HTTPChannel) -> None:
@@ -34,47 +34,48 @@
         self._parts: list[bytes] = []
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Open no file."""
+        """Do not open a temporary file, as Twisted does by default."""
 
     def parseCookies(self) -> None:  # noqa: N802
-        """Leave cookies to the backend server."""
+        """Do not parse cookies; they are for the backend server."""
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Keep a part of the body, within the bounds."""
+        """Buffer a part of the body unless a limit is exceeded."""
         channel = cast(CallerChannel, self.channel)
-        channel.hold_body(len(data))
+        channel.account_body(len(data))
         if not channel.refused:
             self._parts.append(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:  # noqa: N802
-        """Take the whole request."""
+        """Process the complete request."""
         self.method, self.uri, self.clientproto = command, path, version
         try:
             self.process()
         except Exception as error:
-            # A fault in one request must not end its connection silently, nor reach others.
+            # An error in one request must not close its connection without an answer, nor affect
+            # other requests.
             logs.event("internal-error", logging.ERROR, error=repr(error), path=path)
             if not self.startedWriting and not self._disconnected:
                 self.refuse(Refusal(Code.INTERNAL_ERROR))
 
-    def take_body(self) -> bytes:
-        """Return the body, once."""
+    def pop_body(self) -> bytes:
+        """Return the body and release its memory; can be called once."""
         body = b"".join(self._parts)
         self._parts.clear()
         return body
 
     def refuse(self, refusal: Refusal) -> None:
-        """Send a final answer of our own."""
+        """Send a refusal as the final answer."""
         raise NotImplementedError
 
 
 class FlowProducer:
-    """Twisted's view of a flow that is slowed while the caller does not read.
+    """Adapts a flow to Twisted's push producer, which pauses while the caller does not read.
 
     Attributes
     ----------
     paused : bool
-        The caller does not read at the moment.
+        Whether the flow is paused because the caller does not read.
     """
 
     def __init__(self, flow: Flow, paused: bool = False) -> None:
@@ -84,14 +85,14 @@
             flow.pause()
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Slow the flow."""
+        """Pause the flow."""
         self.paused = True
         self._flow.pause()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Let the flow go on."""
+        """Resume the flow."""
         self.paused = False
         self._flow.resume()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Leave it to ``connectionLost``, which always follows."""
+        """Do nothing: ``connectionLost``, which always follows, ends the request."""
--- a/briarspur/callerrequest.py
+++ b/briarspur/callerrequest.py
@@ -1,4 +1,4 @@
-"""One request on a connection, and the way its answer takes back."""
+"""One received request of an HTTP connection, to which its answer is sent."""
 
 from collections.abc import Iterable
 from typing import Protocol, cast
@@ -10,74 +10,78 @@
 from briarspur import headers as names
 from briarspur.answerhead import AnswerHead
 from briarspur.attempts import InboundRequest
+from briarspur.bufferedrequest import BufferedRequest, Flow, FlowProducer
 from briarspur.channel import CallerChannel
 from briarspur.codes import CODES, Code
-from briarspur.heldrequest import Flow, FlowProducer, HeldRequest
 from briarspur.inbound import RawRequest, block_of
 from briarspur.messages import Request
 from briarspur.refusal import Answer, Refusal, refusal_answer
 
-__all__ = ["RequestHandler", "CarriedRequest", "RequestOwner"]
+__all__ = ["ReceivedRequest", "RequestHandler", "RequestOwner"]
 
-NO_BODY = frozenset({204, 304})
+NO_BODY_STATUSES = frozenset({204, 304})
 
 
 class RequestHandler(Protocol):
-    """Who takes requests; :class:`briarspur.requestdriver.RequestDriver` in a daemon."""
+    """Handler of requests; :class:`briarspur.requestdriver.RequestDriver` in a daemon."""
 
     def handle(self, inbound: InboundRequest) -> None:
-        """Take a request; its caller hears of the answer."""
+        """Handle a request; its answer is sent to its caller."""
 
     def caller_gone(self, request_id: str) -> None:
-        """Note that nobody waits for a request any more."""
+        """Handle the disconnect of a request's caller."""
 
 
 class RequestOwner(Protocol):
-    """The server of an exchange."""
+    """The server that received a request."""
 
     @property
     def request_handler(self) -> RequestHandler:
-        """Who takes requests."""
+        """The handler of requests."""
 
-    def refused(self, refusal: Refusal) -> None:
-        """Count and log a request that was refused before it was carried."""
+    def record_refusal(self, refusal: Refusal) -> None:
+        """Count and log a refusal by the server itself, not by the handler."""
 
 
-class CarriedRequest(HeldRequest):
-    """One request, and the way its answer takes back: the caller as the carrier sees it."""
+class ReceivedRequest(BufferedRequest):
+    """One received request; implements :class:`briarspur.attempts.Caller` for its answer."""
 
     def __init__(self, channel: HTTPChannel, owner: RequestOwner) -> None:
         super().__init__(channel)
         self._owner = owner
-        self._waiting_id: str | None = None
+        self._handled_id: str | None = None
         self.request_id = ""
 
     def connectionLost(self, reason: TwistedFailure) -> None:  # noqa: N802
-        """Tell whoever answers that nobody waits any more."""
+        """Report to the handler that the caller has disconnected."""
         super().connectionLost(reason)
-        waiting_id, self._waiting_id = self._waiting_id, None
-        if waiting_id is not None:
-            self._owner.request_handler.caller_gone(waiting_id)
+        handled_id, self._handled_id = self._handled_id, None
+        if handled_id is not None:
+            self._owner.request_handler.caller_gone(handled_id)
 
     def begin(self, head: AnswerHead, from_entry: bool, flow: Flow) -> None:
-        """Send the head of an answer; ``flow`` is slowed while the caller does not read."""
+        """Send the head of an answer; ``flow`` is paused while the caller does not read."""
         self._send_head(head.status, names.answer_headers(head.headers, from_entry))
         if not from_entry:
             self._set_code(Code.ANSWERED)
-        if head.length is not None and self.method != b"HEAD" and head.status not in NO_BODY:
+        if (
+            head.length is not None
+            and self.method != b"HEAD"
+            and head.status not in NO_BODY_STATUSES
+        ):
             self.setHeader(b"Content-Length", b"%d" % head.length)
         self.registerProducer(FlowProducer(flow), True)
         super().write(b"")
 
     def change_flow(self, flow: Flow) -> None:
-        """Slow another flow from now on: the rest of the body comes from there."""
+        """Pause another flow from now on, which delivers the rest of the body."""
         paused = cast(FlowProducer, self.producer).paused
         self.unregisterProducer()
         self.registerProducer(FlowProducer(flow, paused), True)
 
     def finish(self) -> None:
-        """End the answer."""
-        self._waiting_id = None
+        """End a complete answer."""
+        self._handled_id = None
         if self._disconnected or self.finished:
             return
         if self.producer is not None:
@@ -85,46 +89,46 @@
         super().finish()
 
     def reply(self, answer: Answer, code: Code) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         self._send_head(answer.status, answer.headers)
         self._set_code(code)
-        if answer.status not in NO_BODY:
+        if answer.status not in NO_BODY_STATUSES:
             self.setHeader(b"Content-Length", b"%d" % len(answer.body))
         self.write(answer.body)
         self.finish()
 
     def refuse(self, refusal: Refusal) -> None:
-        """Send a final answer of our own."""
+        """Send a refusal as the final answer."""
         self.reply(refusal_answer(refusal), refusal.code)
 
     def abort(self, refusal: Refusal) -> None:
-        """Cut the connection, so that a part of a body can't be taken for the whole.
+        """Reset the connection, so that a truncated body can't be mistaken for a complete one.
 
-        A caller that reads to the end of the connection, or a chunked answer that is ended in
-        order, would look complete; a reset never does.
+        If the connection were closed or a chunked answer ended normally, the body would look
+        complete; after a reset, it never does.
         """
-        self._waiting_id = None
+        self._handled_id = None
         if self.producer is not None:
             self.unregisterProducer()
         if not self._disconnected:
             cast(CallerChannel, self.channel).abort()
 
-    def raw(self) -> RawRequest | None:
-        """Return the request as it came; None if the sender's address is no IP number."""
+    def build_raw(self) -> RawRequest | None:
+        """Return the request as received; None if the sender's address is not an IP address."""
         block = block_of(self.client.host)
         if block is None:
             return None
-        return RawRequest(self.method, self.uri, self.requestHeaders, self.take_body(), block)
+        return RawRequest(self.method, self.uri, self.requestHeaders, self.pop_body(), block)
 
-    def carry(self, raw: RawRequest, read: Result[Request, Refusal]) -> None:
-        """Hand a request to the carrier, or refuse it."""
-        if read.is_error():
-            self._owner.refused(read.error)
-            self.refuse(read.error)
+    def handle(self, raw: RawRequest, parsed: Result[Request, Refusal]) -> None:
+        """Pass a valid request to the handler, or refuse an invalid one."""
+        if parsed.is_error():
+            self._owner.record_refusal(parsed.error)
+            self.refuse(parsed.error)
             return
-        request = read.ok
+        request = parsed.ok
         self.request_id = request.request_id
-        self._waiting_id = request.request_id
+        self._handled_id = request.request_id
         self._owner.request_handler.handle(InboundRequest(request, raw.headers, raw.body, self))
 
     def _send_head(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> None:
--- a/briarspur/channel.py
+++ b/briarspur/channel.py
@@ -1,4 +1,4 @@
-"""HTTP connections of callers, with bounds on what one caller may cost."""
+"""HTTP connections of callers, with limits on the resources that one caller can use."""
 
 import math
 from collections.abc import Callable
@@ -16,14 +16,14 @@
 
 __all__ = ["CallerChannel", "ChannelClock", "ChannelFactory"]
 
-LINGER = 2.0
-"""Seconds a refused caller has to read its answer before its connection is cut."""
-SWEEP = 0.25
-"""Seconds between two looks at slow and idle connections."""
-IDLE = 60.0
-"""Seconds a connection may be open without a request."""
-FULL_RETRY_AFTER = 1.0
-"""Seconds after which a caller may come back to an entry that has too many connections."""
+LINGER_S = 2.0
+"""Time for a refused caller to read its answer before its connection is reset."""
+SWEEP_INTERVAL_S = 0.25
+"""Interval of the checks for slow and idle connections."""
+IDLE_TIMEOUT_S = 60.0
+"""Maximum time that a connection may be open without a request."""
+FULL_RETRY_AFTER_S = 1.0
+"""Retry-After of an entry that has too many connections or buffered request bodies."""
 
 
 class ChannelClock(Protocol):
@@ -35,7 +35,7 @@
     def callLater(  # noqa: N802
         self, delay: float, callable: Callable[..., object], *args: object, **kw: object
     ) -> object:
-        """Call after a delay in seconds."""
+        """Schedule a call after a delay in seconds."""
 
 
 class Transport(Protocol):
@@ -45,48 +45,48 @@
         """Send bytes."""
 
     def loseWriteConnection(self) -> None:  # noqa: N802
-        """Close the sending half once all is sent."""
+        """Close the sending half once all data is sent."""
 
     def abortConnection(self) -> None:  # noqa: N802
-        """Cut the connection."""
+        """Reset the connection."""
 
 
 class CallerChannel(HTTPChannel):
     """One connection of a caller.
 
-    Bad input is answered at once, with a result code, whatever part of it has come; the rest is
-    read and thrown away for :data:`LINGER` seconds. Closing with unread bytes would make the
-    kernel reset the connection, and the caller would see the reset in place of its answer.
+    Invalid input is refused at once with a result code, even if the request is incomplete. The rest
+    of the input is read and discarded for :data:`LINGER_S`: closing with unread bytes would make
+    the kernel reset the connection, and the caller would see the reset and not its answer.
     """
 
     def __init__(self, factory: "ChannelFactory") -> None:
         super().__init__()
         self.factory = factory
-        self.requestFactory = cast("type[Request]", factory.make_request)
+        self.requestFactory = cast("type[Request]", factory.build_request)
         self.totalHeadersSize = factory.limits.header_bytes
         self.MAX_LENGTH = factory.limits.header_bytes
         self.timeOut = None
         self.refused = False
         self.receiving_since = math.inf
         self.idle_since = factory.clock.seconds()
-        self.held_bytes = 0
+        self.buffered_bytes = 0
         self.head_received = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Refuse the caller at once if too many are connected."""
+        """Refuse the caller at once if there are too many connections."""
         super().connectionMade()
         self.factory.channels.add(self)
         if len(self.factory.channels) > self.factory.limits.callers:
-            self.refuse(Refusal(Code.NOT_READ, "too many connections", FULL_RETRY_AFTER))
+            self.refuse(Refusal(Code.NOT_READ, "too many connections", FULL_RETRY_AFTER_S))
 
     def connectionLost(self, reason: TwistedFailure) -> None:  # type: ignore[override] # noqa: N802
-        """Tell the open request that its caller is gone."""
+        """Report to the open request that its caller has disconnected."""
         self.factory.channels.discard(self)
         self.release_body()
         super().connectionLost(reason)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Parse what came, unless the caller was refused."""
+        """Parse received data unless the caller was refused."""
         if self.refused:
             return
         if not self._handlingRequest and self.receiving_since == math.inf:
@@ -99,11 +99,11 @@
             super().lineReceived(line)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        """Refuse a line longer than all headers may be."""
+        """Refuse a line that is longer than the limit of all headers."""
         self.refuse(Refusal(Code.HEADERS_TOO_LARGE))
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take a part of a body, or of requests sent ahead."""
+        """Handle a part of a body or of pipelined requests."""
         if not self.refused:
             super().rawDataReceived(data)
 
@@ -116,7 +116,7 @@
         super().allHeadersReceived()
 
     def allContentReceived(self) -> None:  # noqa: N802
-        """Hand the whole request over."""
+        """Process the complete request."""
         if self.refused:
             return
         self.head_received = False
@@ -132,23 +132,23 @@
             self.persistent = 0
         super().requestDone(request)
 
-    def hold_body(self, size: int) -> None:
-        """Account for a part of a request's body; refuse it if a bound is reached."""
-        self.held_bytes += size
-        self.factory.held_bytes += size
-        if self.held_bytes > self.factory.limits.body_bytes:
+    def account_body(self, size: int) -> None:
+        """Account for a part of a request's body; refuse the request if a limit is exceeded."""
+        self.buffered_bytes += size
+        self.factory.buffered_bytes += size
+        if self.buffered_bytes > self.factory.limits.body_bytes:
             self.refuse(Refusal(Code.BODY_TOO_LARGE))
-        elif self.factory.held_bytes > self.factory.most_held:
+        elif self.factory.buffered_bytes > self.factory.max_buffered_bytes:
             detail = "request bodies fill the entry's memory"
-            self.refuse(Refusal(Code.NOT_READ, detail, FULL_RETRY_AFTER))
+            self.refuse(Refusal(Code.NOT_READ, detail, FULL_RETRY_AFTER_S))
 
     def release_body(self) -> None:
-        """Give the request body's memory back."""
-        self.factory.held_bytes -= self.held_bytes
-        self.held_bytes = 0
+        """Release the memory of the request's body."""
+        self.factory.buffered_bytes -= self.buffered_bytes
+        self.buffered_bytes = 0
 
     def refuse(self, refusal: Refusal) -> None:
-        """Answer a request that did not come whole, and end the connection."""
+        """Refuse a request that is not complete, and end the connection."""
         if self.refused:
             return
         self.refused = True
@@ -156,25 +156,25 @@
         self.release_body()
         answer = refusal_answer(refusal)
         transport = cast(Transport, self.transport)
-        transport.write(_wire_form(answer, self.factory.next_request_id()))
+        transport.write(_serialize(answer, self.factory.next_request_id()))
         transport.loseWriteConnection()
-        self.factory.refused(refusal)
-        self.factory.clock.callLater(LINGER, self._end)
+        self.factory.on_refused(refusal)
+        self.factory.clock.callLater(LINGER_S, self._abort_if_open)
 
-    def look(self, now: float) -> None:
-        """Refuse a caller that is slow to send, and close a connection that is not used.
+    def check_timeouts(self, now: float) -> None:
+        """Refuse a caller that sends too slowly, and close a connection that is idle.
 
-        Bytes that trickle in keep a connection busy for ever, so the whole request is timed from
-        its first byte, not from its last.
+        A caller could keep a connection busy forever with single bytes, so the time of the whole
+        request is limited, counted from its first byte.
         """
         if now - self.receiving_since > self.factory.limits.receive_s:
-            self.refuse(self._too_slow())
+            self.refuse(self._timeout_refusal())
         elif self.receiving_since == math.inf and now - self.idle_since > self.factory.idle_s:
             self.loseConnection()
 
-    def _too_slow(self) -> Refusal:
-        # A slow repeat of a booking that was run must not be told "not run": its caller would book
-        # again. Only a request that surely has no key may be told so.
+    def _timeout_refusal(self) -> Refusal:
+        # A slow repeat of a booking that was run must not be refused as "not run": its caller would
+        # book again. Only a request that certainly has no key may be refused so.
         unkeyed = self.head_received and not self._has_key()
         return Refusal(Code.CALLER_TOO_SLOW if unkeyed else Code.NOT_READ, "not sent in time")
 
@@ -182,15 +182,15 @@
         return bool(self.requests) and self.requests[-1].requestHeaders.hasHeader(IDEMPOTENCY_KEY)
 
     def abort(self) -> None:
-        """Cut the connection with a reset."""
+        """Reset the connection."""
         cast(Transport, self.transport).abortConnection()
 
-    def _end(self) -> None:
+    def _abort_if_open(self) -> None:
         if self in self.factory.channels:
             self.abort()
 
     def _respondToBadRequestAndDisconnect(self) -> None:  # noqa: N802
-        """Answer in place of Twisted's bare 400, which has no result code."""
+        """Refuse with a result code, which Twisted's own 400 answer lacks."""
         too_large = self._receivedHeaderSize > self.totalHeadersSize
         too_many = self._receivedHeaderCount > self.maxHeaders
         code = Code.HEADERS_TOO_LARGE if too_large or too_many else Code.BAD_REQUEST
@@ -198,38 +198,38 @@
 
 
 class ChannelFactory(protocol.ServerFactory):
-    """Makes and watches the connections of one listening port.
+    """Creates and monitors the connections of one listening port.
 
     Attributes
     ----------
-    held_bytes : int
-        Request bodies in memory.
-    most_held : int
-        Bound on them, in bytes.
+    buffered_bytes : int
+        Size of the request bodies in memory.
+    max_buffered_bytes : int
+        Limit of that size.
     idle_s : float
-        Seconds a connection may be open without a request.
+        Maximum time in seconds that a connection may be open without a request.
     closing : bool
-        Each connection is to end after the answer it waits for.
+        Whether each connection ends after its current answer.
     """
 
     def __init__(
         self,
         clock: ChannelClock,
         limits: LimitSettings,
-        make_request: Callable[[HTTPChannel, object], object],
+        build_request: Callable[[HTTPChannel, object], object],
         next_request_id: Callable[[], str],
-        refused: Callable[[Refusal], None],
+        on_refused: Callable[[Refusal], None],
     ) -> None:
         self.clock = clock
         self.limits = limits
-        self.make_request = make_request
+        self.build_request = build_request
         self.next_request_id = next_request_id
-        self.refused = refused
+        self.on_refused = on_refused
         self.channels: set[CallerChannel] = set()
-        self.held_bytes = 0
-        self.most_held = 64 * limits.body_bytes
+        self.buffered_bytes = 0
+        self.max_buffered_bytes = 64 * limits.body_bytes
         self.closing = False
-        self.idle_s = IDLE
+        self.idle_s = IDLE_TIMEOUT_S
         self._sweeping = False
 
     def buildProtocol(self, addr: IAddress | None) -> CallerChannel:  # noqa: N802
@@ -237,25 +237,25 @@
         return CallerChannel(self)
 
     def startFactory(self) -> None:  # noqa: N802
-        """Begin to look for slow callers."""
+        """Start the periodic checks of connections."""
         self._sweeping = True
-        self.clock.callLater(SWEEP, self._sweep)
+        self.clock.callLater(SWEEP_INTERVAL_S, self._sweep)
 
     def stopFactory(self) -> None:  # noqa: N802
-        """Nothing is listened to any more; open connections are still looked at."""
+        """Do nothing when the port is closed: open connections are still checked."""
 
     def log(self, request: object) -> None:
-        """Write no access log: Twisted would write a line for each request."""
+        """Do not write Twisted's access log, which has a line for each request."""
 
     def close_idle(self) -> None:
-        """Close connections that wait for no answer, and let the others end after theirs."""
+        """Close connections without an open request, and the others after their answer."""
         self.closing = True
         for channel in list(self.channels):
             if not channel.requests and channel.receiving_since == math.inf:
                 channel.loseConnection()
 
     def stop_sweeping(self) -> None:
-        """Look at connections no more."""
+        """Stop the periodic checks of connections."""
         self._sweeping = False
 
     def _sweep(self) -> None:
@@ -263,11 +263,11 @@
             return
         now = self.clock.seconds()
         for channel in list(self.channels):
-            channel.look(now)
-        self.clock.callLater(SWEEP, self._sweep)
+            channel.check_timeouts(now)
+        self.clock.callLater(SWEEP_INTERVAL_S, self._sweep)
 
 
-def _wire_form(answer: Answer, request_id: str) -> bytes:
+def _serialize(answer: Answer, request_id: str) -> bytes:
     lines = [b"HTTP/1.1 %d Refused" % answer.status]
     lines += [name + b": " + value for name, value in answer.headers]
     lines.append(b"Briarspur-Request-Id: " + request_id.encode())
--- a/briarspur/gateway/exchange.py
+++ b/briarspur/gateway/exchange.py
@@ -4,11 +4,11 @@
 from typing import Any, Protocol
 
 from briarspur.answerhead import AnswerHead
+from briarspur.bufferedrequest import Flow
 from briarspur.codes import CODES, Code, Ran
 from briarspur.gateway.outcome import Outcome
 from briarspur.gateway.sending import IncomingRequest, Sending, Services
 from briarspur.gateway.work import Attempt, Refused, Work
-from briarspur.heldrequest import Flow
 
 __all__ = ["Caller", "Exchange"]
 
--- a/briarspur/gateway/front.py
+++ b/briarspur/gateway/front.py
@@ -8,13 +8,13 @@
 from twisted.web.http import HTTPChannel
 
 from briarspur.answerhead import AnswerHead
+from briarspur.bufferedrequest import BufferedRequest, Flow, FlowProducer
 from briarspur.channel import CallerChannel, ChannelClock, ChannelFactory
 from briarspur.codes import CODES
 from briarspur.gateway.configuration import Limits
 from briarspur.gateway.exchange import Exchange
 from briarspur.gateway.sending import IncomingRequest
 from briarspur.gateway.work import Refused
-from briarspur.heldrequest import Flow, FlowProducer, HeldRequest
 from briarspur.limitsettings import LimitSettings
 from briarspur.refusal import Refusal
 
@@ -61,7 +61,7 @@
         self.factory = ChannelFactory(
             clock, self._limits(Limits()), self._make, lambda: "", taker.refused_unread
         )
-        self.factory.most_held = int(memory * HELD_SHARE)
+        self.factory.max_buffered_bytes = int(memory * HELD_SHARE)
 
     def limits_changed(self, limits: Limits) -> None:
         """Take the limits of a configuration, for connections made from now on."""
@@ -84,7 +84,7 @@
         return FrontRequest(channel, self._taker)
 
 
-class FrontRequest(HeldRequest):
+class FrontRequest(BufferedRequest):
     """One request of a caller; implements :class:`briarspur.gateway.exchange.Caller`."""
 
     def __init__(self, channel: HTTPChannel, taker: RequestTaker) -> None:
@@ -94,7 +94,7 @@
 
     def process(self) -> None:
         """Hand the whole request over."""
-        request = IncomingRequest(self.method, self.uri, self.requestHeaders, self.take_body())
+        request = IncomingRequest(self.method, self.uri, self.requestHeaders, self.pop_body())
         self._exchange = self._taker.take(request, self)
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
--- a/briarspur/server.py
+++ b/briarspur/server.py
@@ -1,4 +1,4 @@
-"""The HTTP servers of an entry: for callers, and for requests that other entries send on."""
+"""The HTTP servers of an entry: for callers, and for requests that other entries forward."""
 
 import json
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 from twisted.web.http import HTTPChannel
 
 from briarspur import logs
-from briarspur.callerrequest import CarriedRequest, RequestHandler
+from briarspur.callerrequest import ReceivedRequest, RequestHandler
 from briarspur.channel import ChannelClock, ChannelFactory
 from briarspur.codes import Code
 from briarspur.inbound import read_forwarded, read_lookup, read_request
@@ -21,20 +21,20 @@
 __all__ = ["EntryServer", "Lookup", "ServerSettings", "StatusPages"]
 
 Lookup = Callable[[str, int], Result[bytes, Refusal]]
-"""Answers a look-up for a service and a block of clients with a JSON document."""
+"""Answers a look-up of a service, for a block of client addresses, with a JSON document."""
 
 LOOKUP_PATH = b"/v1/lookup"
-NOT_READY_RETRY_AFTER = 1.0
-BACKLOG = 1_024
+NOT_READY_RETRY_AFTER_S = 1.0
+LISTEN_BACKLOG = 1_024
 LEVELS_PAGE = LEVELS_PATH.encode()
 STATUS_PATHS = frozenset({b"/healthz", b"/readyz", b"/status", LEVELS_PAGE})
 
 
 class StatusPages(Protocol):
-    """What an entry says of itself."""
+    """The status pages of an entry."""
 
     def is_ready(self) -> bool:
-        """Return whether callers may come."""
+        """Return whether the entry is ready for requests."""
 
     def status(self) -> dict[str, object]:
         """Return the fields of the status page."""
@@ -50,13 +50,13 @@
 
 
 class ListeningPort(Protocol):
-    """A port that is listened to."""
+    """A port that accepts connections."""
 
     def getHost(self) -> PortAddress:  # noqa: N802
         """Return the address."""
 
     def stopListening(self) -> object:  # noqa: N802
-        """Take no new connections."""
+        """Stop accepting connections."""
 
 
 class PortReactor(ChannelClock, Protocol):
@@ -70,14 +70,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSettings:
-    """What a server needs to know.
+    """Settings of a server.
 
     Attributes
     ----------
     incarnation : str
         Random id of this process, the first part of each request id.
     entry_id : str
-        Named in the log.
+        Id of the entry in log lines.
     """
 
     incarnation: str
@@ -106,46 +106,51 @@
         self._settings = settings
         self._last_number = 0
         self._ports: list[ListeningPort] = []
-        self._callers = self._factory(CallerRequest)
-        self._entries = self._factory(ForwardedRequest)
+        self._caller_factory = self._make_factory(CallerRequest)
+        self._forward_factory = self._make_factory(ForwardedRequest)
 
     def listen(self, host: str, caller_port: int, forward_port: int) -> tuple[int, int]:
-        """Listen on both ports; return their numbers, chosen by the system where 0 was given."""
-        for number, factory in ((caller_port, self._callers), (forward_port, self._entries)):
-            self._ports.append(self._reactor.listenTCP(number, factory, BACKLOG, host))
+        """Listen on both ports and return their numbers; 0 lets the system choose one."""
+        for number, factory in (
+            (caller_port, self._caller_factory),
+            (forward_port, self._forward_factory),
+        ):
+            self._ports.append(self._reactor.listenTCP(number, factory, LISTEN_BACKLOG, host))
         caller, forward = (port.getHost().port for port in self._ports)
         return caller, forward
 
     async def close(self) -> None:
-        """Take no new connections; those that wait for an answer get it."""
+        """Stop accepting connections; open requests are still answered."""
         for port in self._ports:
             port.stopListening()
         self._ports.clear()
-        for factory in (self._callers, self._entries):
+        for factory in (self._caller_factory, self._forward_factory):
             factory.close_idle()
             factory.stop_sweeping()
 
     def next_request_id(self) -> str:
-        """Return an id that no other request of any entry has."""
+        """Return a request id that is unique among all entries."""
         self._last_number += 1
         return f"{self._settings.incarnation}-{self._last_number:x}"
 
-    def refused(self, refusal: Refusal) -> None:
-        """Count and log a request that was refused before it came whole."""
+    def record_refusal(self, refusal: Refusal) -> None:
+        """Count and log a refusal by the server itself."""
         self._metrics.count("answers", refusal.code.name)
         code, entry = refusal.code, self._settings.entry_id
         logs.event("refused", code=int(code), code_name=code.name, entry=entry)
 
-    def _factory(self, kind: "type[CallerRequest | ForwardedRequest]") -> ChannelFactory:
-        def make(channel: HTTPChannel, queued: object) -> CarriedRequest:
-            return kind(channel, self)
+    def _make_factory(
+        self, request_type: "type[CallerRequest | ForwardedRequest]"
+    ) -> ChannelFactory:
+        def make(channel: HTTPChannel, queued: object) -> ReceivedRequest:
+            return request_type(channel, self)
 
         return ChannelFactory(
-            self.clock, self._settings.limits, make, self.next_request_id, self.refused
+            self.clock, self._settings.limits, make, self.next_request_id, self.record_refusal
         )
 
 
-class CallerRequest(CarriedRequest):
+class CallerRequest(ReceivedRequest):
     """A request on the port for callers."""
 
     def __init__(self, channel: HTTPChannel, server: EntryServer) -> None:
@@ -153,7 +158,7 @@
         self._server = server
 
     def process(self) -> None:
-        """Answer a look-up or a status page; carry anything else."""
+        """Answer a look-up or a status page; pass any other request to the handler."""
         server = self._server
         self.request_id = server.next_request_id()
         path, _, query = self.uri.partition(b"?")
@@ -161,16 +166,16 @@
             self._look_up(query)
             return
         if path in STATUS_PATHS and self.method == b"GET":
-            self._show(path)
+            self._show_page(path)
             return
-        raw = self.raw()
+        raw = self.build_raw()
         if raw is None:
             self.refuse(Refusal(Code.BAD_REQUEST, "the caller has no IP number"))
             return
-        self.carry(raw, read_request(raw, self.request_id, server.clock.seconds()))
+        self.handle(raw, read_request(raw, self.request_id, server.clock.seconds()))
 
     def _look_up(self, query: bytes) -> None:
-        """Answer a look-up, past Twisted's header objects: they would take half of its time."""
+        """Answer a look-up without Twisted's header objects, which would take half of its time."""
         service, block = read_lookup(query, self.client.host)
         if block is None:
             self._refuse_lookup(Refusal(Code.BAD_REQUEST, "malformed look-up"))
@@ -190,24 +195,24 @@
         self.finish()
 
     def _refuse_lookup(self, refusal: Refusal) -> None:
-        self._server.refused(refusal)
+        self._server.record_refusal(refusal)
         self.refuse(refusal)
 
-    def _show(self, path: bytes) -> None:
+    def _show_page(self, path: bytes) -> None:
         pages = self._server.pages
         if path == b"/readyz" and not pages.is_ready():
-            self.refuse(Refusal(Code.NOT_READY, retry_after=NOT_READY_RETRY_AFTER))
+            self.refuse(Refusal(Code.NOT_READY, retry_after=NOT_READY_RETRY_AFTER_S))
             return
-        shown: dict[str, object] = {"ok": True}
+        document: dict[str, object] = {"ok": True}
         if path == b"/status":
-            shown = pages.status()
+            document = pages.status()
         elif path == LEVELS_PAGE:
-            shown = pages.service_levels()
-        body = json.dumps(shown).encode() + b"\n"
+            document = pages.service_levels()
+        body = json.dumps(document).encode() + b"\n"
         self.reply(Answer(200, ((b"Content-Type", b"application/json"),), body), Code.ANSWERED)
 
 
-class ForwardedRequest(CarriedRequest):
+class ForwardedRequest(ReceivedRequest):
     """A request on the port for other entries."""
 
     def __init__(self, channel: HTTPChannel, server: EntryServer) -> None:
@@ -215,10 +220,10 @@
         self._server = server
 
     def process(self) -> None:
-        """Carry the request."""
+        """Pass the request to the handler."""
         self.request_id = self._server.next_request_id()
-        raw = self.raw()
+        raw = self.build_raw()
         if raw is None:
             self.refuse(Refusal(Code.BAD_REQUEST, "the sender has no IP number"))
             return
-        self.carry(raw, read_forwarded(raw, self._server.clock.seconds()))
+        self.handle(raw, read_forwarded(raw, self._server.clock.seconds()))
--- a/tests/gateway/exchanging.py
+++ b/tests/gateway/exchanging.py
@@ -6,6 +6,7 @@
 from twisted.web.http_headers import Headers
 
 from briarspur.answerhead import AnswerHead
+from briarspur.bufferedrequest import Flow
 from briarspur.codes import Code
 from briarspur.gateway.configuration import RouteKind
 from briarspur.gateway.exchange import Exchange
@@ -14,7 +15,6 @@
 from briarspur.gateway.sending import IncomingRequest, Services
 from briarspur.gateway.steering import Steering
 from briarspur.gateway.work import Attempt, Refused, Work
-from briarspur.heldrequest import Flow
 from briarspur.platform.dialect import PlatformDialect
 from tests.gateway.samples import begun, registration, route, steering
 from tests.httpfakes import Connection, RawBackend
--- a/tests/gateway/test_front.py
+++ b/tests/gateway/test_front.py
@@ -80,7 +80,7 @@
     def test_bodies_are_held_up_to_their_share_of_the_memory(self) -> None:
         for _ in range(50):
             self.upload()
-        held = self.front.factory.held_bytes
+        held = self.front.factory.buffered_bytes
         self.assertLessEqual(held, HELD_SHARE * MEMORY)
         self.assertEqual(int(HELD_SHARE * MEMORY) // BODY, len(self.taker.taken))
         self.assertEqual(50, len(self.taker.taken) + len(self.taker.refused))
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the servers of an entry: what callers send, and what they get."""
+"""Tests of the HTTP servers of an entry: valid and invalid requests, and closing."""
 
 import asyncio
 import json
@@ -40,7 +40,7 @@
 
         self.run_on_loop(work())
 
-    def test_connections_are_kept_on_both_sides(self) -> None:
+    def test_connections_are_persistent_on_both_sides(self) -> None:
         async def work() -> None:
             async with (
                 RawBackend(answer_ok) as backend,
@@ -74,11 +74,11 @@
         self.assertEqual(json.loads(read[1].body)["block"], 10 << 24 | 1)
         self.assertTrue(all(b"briarspur-request-id" in r.headers for r in read))
 
-    def test_request_bodies_touch_no_file(self) -> None:
-        """A large order must be carried on a VM without disks.
+    def test_request_bodies_are_not_written_to_files(self) -> None:
+        """Guard against a valid large request that fails on a VM without disks.
 
-        Twisted writes request bodies of over 100 kB to a temporary file. With no disk, or a full
-        one, the caller would get an internal error for a valid request.
+        By default, Twisted writes request bodies of over 100 kB to a temporary file. Without a
+        disk, or with a full one, the caller would get an internal error.
         """
 
         async def work() -> Read:
@@ -96,7 +96,7 @@
 
 
 class BadInputTest(LoopTestCase):
-    """Each bad input gets its numbered answer at once, and harms nobody else."""
+    """Invalid input is refused at once with a result code, and does not affect other callers."""
 
     def expect(self, request: bytes, code: Code, limits: LimitSettings = SMALL) -> None:
         """Check the answer to ``request``, and that another caller is served after it."""
@@ -159,10 +159,10 @@
         self.expect(b"POST / HTTP/1.1\r\nContent-Length: 9999\r\n\r\n", Code.BODY_TOO_LARGE)
 
     def test_large_body_is_refused_while_it_is_sent(self) -> None:
-        """A caller that sends far too much, and reads only then, still reads why.
+        """A caller that sends far too large a body before it reads still reads the refusal.
 
-        If the entry closed after its answer, the kernel would reset the connection for the bytes
-        that nobody reads, and the caller would see the reset in place of the answer.
+        If the entry closed the connection after its answer, the kernel would reset it because of
+        the unread bytes, and the caller would see the reset and not the answer.
         """
 
         async def work() -> Read:
@@ -178,7 +178,7 @@
 
         self.assertEqual(json.loads(self.run_on_loop(work()).body)["name"], "BODY_TOO_LARGE")
 
-    def test_chunked_body_is_counted(self) -> None:
+    def test_chunked_body_is_limited_by_its_received_size(self) -> None:
         chunk = b"400\r\n" + b"x" * 1_024 + b"\r\n"
         head = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
         self.expect(head + chunk * 3, Code.BODY_TOO_LARGE)
@@ -188,20 +188,20 @@
         self.expect(b"POST / HTTP/1.1\r\n" + lengths + b"\r\n", Code.BAD_REQUEST)
 
     def test_slow_caller(self) -> None:
-        """A caller that trickles bytes in is refused, however busy it keeps its connection."""
+        """A request that is not complete in time is refused."""
         self.expect(b"POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\n123", Code.CALLER_TOO_SLOW)
 
-    def test_slow_repeat_is_not_told_not_run(self) -> None:
-        """A passenger repeats a booking over a bad line, is told `not run`, and books again.
+    def test_slow_request_that_may_have_a_key_is_not_refused_as_not_run(self) -> None:
+        """Guard against a double booking after a repeat that was too slow to be read.
 
-        The first copy was run. The repeat comes too slowly to be read, so this entry cannot know
-        of the first; it may say only what it knows.
+        The first copy of the booking was run, but the entry has not read the key of the repeat and
+        cannot know that. If it refused the repeat as `not run`, the caller would book again.
         """
         keyed = b"POST / HTTP/1.1\r\nContent-Length: 9\r\nIdempotency-Key: 12345678\r\n\r\n123"
         self.expect(keyed, Code.NOT_READ)
         self.expect(b"POST / HTTP/1.1\r\nContent-Length: 9\r\n", Code.NOT_READ)
 
-    def test_caller_over_the_bound_is_refused(self) -> None:
+    def test_connection_beyond_the_limit_is_refused(self) -> None:
         async def work() -> Read:
             async with (
                 Front(DirectCore(NOWHERE), SMALL) as front,
@@ -218,7 +218,7 @@
         read = self.run_on_loop(work())
         self.assertEqual((read.status, read.headers[b"retry-after"]), (503, b"1"))
 
-    def test_forward_port_takes_entries_only(self) -> None:
+    def test_forward_port_accepts_only_entries(self) -> None:
         async def work() -> None:
             async with Front(DirectCore(NOWHERE)) as front, RawCaller(front.forward_port) as caller:
                 read = await caller.get(b"/times/")
@@ -227,7 +227,7 @@
 
         self.run_on_loop(work())
 
-    def test_caller_cannot_pose_as_an_entry(self) -> None:
+    def test_caller_cannot_impersonate_an_entry(self) -> None:
         async def work() -> None:
             async with (
                 RawBackend(answer_ok) as backend,
@@ -242,20 +242,20 @@
 
 
 class CloseTest(LoopTestCase):
-    """A server that closes cuts no request in flight."""
+    """Closing the server does not interrupt requests in flight."""
 
     def test_request_in_flight_is_answered_after_close(self) -> None:
-        """An entry is stopped for maintenance while a chart pack is on its way.
+        """A download completes although the entry is stopped for maintenance meanwhile.
 
-        The port is closed and idle connections end; the download must go on to its last byte.
+        The port and idle connections are closed, but the open request must get its complete answer.
         """
 
         async def work() -> Read:
-            go_on = asyncio.Event()
+            finish = asyncio.Event()
 
             async def slow(connection: Connection, head: bytes) -> None:
                 connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf")
-                await go_on.wait()
+                await finish.wait()
                 connection.send(b"half")
 
             async with (
@@ -266,7 +266,7 @@
                 reading = asyncio.ensure_future(caller.get(b"/times/"))
                 await eventually(lambda: bool(front.core.events))
                 await front.server.close()
-                go_on.set()
+                finish.set()
                 read = await reading
                 self.assertEqual(await caller.reader.read(), b"")
                 return read
