--- a/briarspur/answerhead.py
+++ b/briarspur/answerhead.py
@@ -9,7 +9,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Status and headers of an answer; ``length`` is its body's size in bytes, None if unknown."""
+    """Status and headers of an answer.
+
+    Attributes
+    ----------
+    length : int or None
+        Size of the body in bytes; None if unknown.
+    """
 
     status: int
     headers: Headers
--- a/briarspur/callerrequest.py
+++ b/briarspur/callerrequest.py
@@ -13,7 +13,7 @@
 from briarspur.bufferedrequest import BufferedRequest, Flow, FlowProducer
 from briarspur.channel import CallerChannel
 from briarspur.codes import CODES, Code
-from briarspur.inbound import RawRequest, block_of
+from briarspur.inbound import RawRequest, block_of_address
 from briarspur.messages import Request
 from briarspur.refusal import Answer, Refusal, refusal_answer
 
@@ -115,7 +115,7 @@
 
     def build_raw(self) -> RawRequest | None:
         """Return the request as received; None if the sender's address is not an IP address."""
-        block = block_of(self.client.host)
+        block = block_of_address(self.client.host)
         if block is None:
             return None
         return RawRequest(self.method, self.uri, self.requestHeaders, self.pop_body(), block)
--- a/briarspur/fetch.py
+++ b/briarspur/fetch.py
@@ -1,4 +1,4 @@
-"""Reading JSON over HTTP from other programs, bounded in time and size."""
+"""Fetches JSON documents over HTTP from other programs, with limits on time and size."""
 
 import asyncio
 import json
@@ -17,13 +17,19 @@
 
 __all__ = ["Endpoint", "Fetcher", "HttpFetcher"]
 
-MAX_BYTES = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 OK = 200
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Where a program answers HTTP; ``name`` is for people."""
+    """The HTTP address of a program.
+
+    Attributes
+    ----------
+    name : str
+        Name of the program in messages.
+    """
 
     name: str
     host: str
@@ -31,27 +37,27 @@
 
 
 class Fetcher(Protocol):
-    """Reads a JSON document from another program."""
+    """Fetches JSON documents from other programs."""
 
     async def get_json(self, endpoint: Endpoint, path: str) -> Any:
-        """Return the document at ``path``.
+        """Fetch the document at ``path``.
 
         Raises
         ------
         PeerRefusalError
-            The program answered with another status than 200.
+            The status of the answer was not 200.
         PeerError
-            No whole, valid answer came in time.
+            There was no complete, valid answer in time.
         """
 
 
 class HttpFetcher:
-    """Reads over twisted.web.
+    """Fetches documents with twisted.web.
 
     Parameters
     ----------
     timeout : float
-        Seconds for a whole answer.
+        Seconds to wait for a complete answer.
     """
 
     def __init__(self, reactor: IReactorTCP, timeout: float) -> None:
@@ -61,7 +67,7 @@
         self._timeout = timeout
 
     async def get_json(self, endpoint: Endpoint, path: str) -> Any:
-        """Return the document at ``path``."""
+        """Fetch the document at ``path``."""
         host = f"[{endpoint.host}]" if ":" in endpoint.host else endpoint.host
         url = f"http://{host}:{endpoint.port}{path}".encode()
         loop = asyncio.get_running_loop()
@@ -69,14 +75,14 @@
             async with asyncio.timeout(self._timeout):
                 headers = Headers({b"Accept": [b"application/json"]})
                 response = await self._agent.request(b"GET", url, headers).asFuture(loop)
-                body = await _read(response).asFuture(loop)
+                body = await _read_body(response).asFuture(loop)
         except TimeoutError:
             raise PeerError(f"{endpoint.name}: no answer within {self._timeout:g} s") from None
         except Exception as error:
-            # Twisted raises many unrelated classes here; each means that no whole answer came.
+            # Twisted raises many unrelated classes; each means that there is no complete answer.
             raise PeerError(f"{endpoint.name}: {_reason(error)}") from error
         if response.code != OK:
-            raise PeerRefusalError(endpoint.name, response.code, _refusal(body))
+            raise PeerRefusalError(endpoint.name, response.code, _parse_refusal(body))
         try:
             return json.loads(body)
         except ValueError:
@@ -84,7 +90,7 @@
 
 
 class _Body(TwistedProtocol):
-    """Collects a body up to the size limit."""
+    """Collects a body of up to ``MAX_BODY_BYTES``."""
 
     def __init__(self, done: "Deferred[bytes]") -> None:
         self._done = done
@@ -94,7 +100,7 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Collect a chunk."""
         self._size += len(data)
-        if self._size > MAX_BYTES:
+        if self._size > MAX_BODY_BYTES:
             self._chunks.clear()
             transport: Any = self.transport
             transport.loseConnection()
@@ -102,25 +108,25 @@
         self._chunks.append(data)
 
     def connectionLost(self, reason: Failure | None = None) -> None:  # noqa: N802
-        """Hand over the body if it is whole."""
+        """Deliver the body if it is complete, or an error."""
         if self._done.called:
             return
-        if self._size > MAX_BYTES:
-            self._done.errback(ValueError(f"more than {MAX_BYTES} bytes"))
+        if self._size > MAX_BODY_BYTES:
+            self._done.errback(ValueError(f"more than {MAX_BODY_BYTES} bytes"))
         elif reason is not None and reason.check(ResponseDone):
             self._done.callback(b"".join(self._chunks))
         else:
             self._done.errback(ValueError("the answer was cut short"))
 
 
-def _read(response: Any) -> "Deferred[bytes]":
+def _read_body(response: Any) -> "Deferred[bytes]":
     done: Deferred[bytes] = Deferred()
     response.deliverBody(_Body(done))
     return done
 
 
-def _refusal(body: bytes) -> dict[str, Any]:
-    """Return the document of a refusal; empty if the body is none."""
+def _parse_refusal(body: bytes) -> dict[str, Any]:
+    """Parse the document of a refusal; empty if the body is not a JSON object."""
     try:
         document = json.loads(body)
     except ValueError:
--- a/briarspur/server.py
+++ b/briarspur/server.py
@@ -12,7 +12,7 @@
 from briarspur.callerrequest import ReceivedRequest, RequestHandler
 from briarspur.channel import ChannelClock, ChannelFactory
 from briarspur.codes import Code
-from briarspur.inbound import read_forwarded, read_lookup, read_request
+from briarspur.inbound import parse_forwarded, parse_lookup, parse_request
 from briarspur.levels import LEVELS_PATH
 from briarspur.limitsettings import LimitSettings
 from briarspur.metrics import Metrics
@@ -172,11 +172,11 @@
         if raw is None:
             self.refuse(Refusal(Code.BAD_REQUEST, "the caller has no IP number"))
             return
-        self.handle(raw, read_request(raw, self.request_id, server.clock.seconds()))
+        self.handle(raw, parse_request(raw, self.request_id, server.clock.seconds()))
 
     def _look_up(self, query: bytes) -> None:
         """Answer a look-up without Twisted's header objects, which would take half of its time."""
-        service, block = read_lookup(query, self.client.host)
+        service, block = parse_lookup(query, self.client.host)
         if block is None:
             self._refuse_lookup(Refusal(Code.BAD_REQUEST, "malformed look-up"))
             return
@@ -226,4 +226,4 @@
         if raw is None:
             self.refuse(Refusal(Code.BAD_REQUEST, "the sender has no IP number"))
             return
-        self.handle(raw, read_forwarded(raw, self._server.clock.seconds()))
+        self.handle(raw, parse_forwarded(raw, self._server.clock.seconds()))
