--- a/tests/httpfakes.py
+++ b/tests/httpfakes.py
@@ -1,4 +1,4 @@
-"""Small stand-ins at the interfaces of the HTTP path."""
+"""Fakes of the decision core, backend servers and callers, for tests over real sockets."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -30,23 +30,32 @@
 from briarspur.server import EntryServer, ServerSettings
 from tests.loop import the_reactor
 
-__all__ = ["DirectCore", "FakeKeys", "Front", "RawBackend", "RawCaller", "Read"]
+__all__ = ["DirectCore", "FakeKeyStore", "HttpEntry", "RawBackend", "RawCaller", "ReceivedAnswer"]
 
 HOST = "127.0.0.1"
 
 
 @dataclass
 class DirectCore:
-    """A core that sends each request to one target and passes its answer on.
-
-    ``keep_answer`` and ``failed`` change what it decides; ``events`` is what it was told.
+    """A core that dispatches each request to one target and relays its answer.
+
+    Attributes
+    ----------
+    resume : bool
+        Request the rest of a truncated body.
+    continues_without_caller : bool
+        Do not cancel a request when its caller disconnects.
+    relays : bool
+        Relay answers; if false, drop them and refuse the request.
+    events : list
+        The reported events, without new requests.
     """
 
     target: TargetAddress
     keep_answer: bool = False
     resume: bool = False
-    stays_after_caller: bool = False
-    pass_on: bool = True
+    continues_without_caller: bool = False
+    relays: bool = True
     events: list[tuple[object, ...]] = field(default_factory=list)
     requests_by_attempt: dict[int, Request] = field(default_factory=dict)
     requests: list[Request] = field(default_factory=list)
@@ -74,7 +83,7 @@
     def answer_began(self, attempt_id: int, status: int, now: float) -> list[Action]:
         self.events.append(("began", status))
         request = self.requests_by_attempt[attempt_id]
-        if not self.pass_on:
+        if not self.relays:
             return [Refuse(request.request_id, Refusal(Code.CONNECTION_LOST))]
         return [Begin(request.request_id, attempt_id)]
 
@@ -106,7 +115,7 @@
 
     def caller_gone(self, request_id: str, now: float) -> list[Action]:
         self.events.append(("gone",))
-        if self.stays_after_caller:
+        if self.continues_without_caller:
             return []
         return [
             Cancel(n) for n, r in self.requests_by_attempt.items() if r.request_id == request_id
@@ -127,8 +136,8 @@
         return None
 
 
-class FakeKeys:
-    """A key store that settles nothing."""
+class FakeKeyStore:
+    """A key store without outcomes, in which each claim stays unsettled."""
 
     async def claim(self, key: str, body_digest: bytes) -> SettledClaim:
         return SettledClaim(ClaimResult.UNSETTLED)
@@ -142,7 +151,7 @@
 
 @dataclass
 class Connection:
-    """One connection to a raw backend."""
+    """One connection to a :class:`RawBackend`."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -156,7 +165,7 @@
 
 
 class RawBackend:
-    """A backend server whose every byte the test decides; a context manager."""
+    """A backend server that answers with the bytes of a test's script; a context manager."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -197,13 +206,13 @@
 
 
 @dataclass
-class Read:
-    """An answer as a caller read it; ``cut`` if the connection ended before the body did."""
+class ReceivedAnswer:
+    """An answer that a caller read; ``truncated`` if the connection ended before the body did."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
-    cut: bool
+    truncated: bool
 
 
 class RawCaller:
@@ -219,14 +228,14 @@
     async def __aexit__(self, *_: object) -> None:
         self.writer.close()
 
-    async def ask(self, request: bytes) -> Read:
+    async def send(self, request: bytes) -> ReceivedAnswer:
         self.writer.write(request)
         return await self.read()
 
-    async def get(self, path: bytes, headers: bytes = b"") -> Read:
-        return await self.ask(b"GET " + path + b" HTTP/1.1\r\nHost: x\r\n" + headers + b"\r\n")
+    async def get(self, path: bytes, headers: bytes = b"") -> ReceivedAnswer:
+        return await self.send(b"GET " + path + b" HTTP/1.1\r\nHost: x\r\n" + headers + b"\r\n")
 
-    async def read(self) -> Read:
+    async def read(self) -> ReceivedAnswer:
         head = await self.reader.readuntil(b"\r\n\r\n")
         lines = head.split(b"\r\n")
         pairs = [line.split(b": ", 1) for line in lines[1:] if line]
@@ -235,12 +244,14 @@
         try:
             body = await self.reader.readexactly(length)
         except (asyncio.IncompleteReadError, ConnectionError) as error:
-            return Read(int(lines[0].split()[1]), headers, getattr(error, "partial", b""), True)
-        return Read(int(lines[0].split()[1]), headers, body, False)
+            return ReceivedAnswer(
+                int(lines[0].split()[1]), headers, getattr(error, "partial", b""), True
+            )
+        return ReceivedAnswer(int(lines[0].split()[1]), headers, body, False)
 
 
-class Front:
-    """Server, driver and client of an entry around a core; a context manager."""
+class HttpEntry:
+    """Server, request driver and HTTP client of an entry, for a given core; a context manager."""
 
     def __init__(
         self,
@@ -249,7 +260,7 @@
         connections: int = 350,
         client: BackendClient | None = None,
     ) -> None:
-        self.answers: list[Code] = []
+        self.codes: list[Code] = []
         self.regions: list[str] = []
         self.leaving: list[str] = []
         self.core = core
@@ -258,7 +269,9 @@
         settings = DriverSettings(
             "entry-1", self.limits.remembered_answer_bytes, lambda target_id: connections
         )
-        self.driver = RequestDriver(core, self.client, the_reactor(), FakeKeys(), self, settings)
+        self.driver = RequestDriver(
+            core, self.client, the_reactor(), FakeKeyStore(), self, settings
+        )
         self.server = EntryServer(
             the_reactor(),
             self.driver,
@@ -268,7 +281,7 @@
             ServerSettings("abcd", self.limits),
         )
 
-    async def __aenter__(self) -> "Front":
+    async def __aenter__(self) -> "HttpEntry":
         self.caller_port, self.forward_port = self.server.listen(HOST, 0, 0)
         return self
 
@@ -283,7 +296,7 @@
         pass
 
     def answered(self, request: Request, region: str, code: Code, seconds: float) -> None:
-        self.answers.append(code)
+        self.codes.append(code)
         self.regions.append(region)
 
     def target_leaving(self, target_id: str) -> None:
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -15,7 +15,7 @@
 from briarspur.settings import EntrySettings
 from standins.ports import free_port
 from tests.examples import small_policy
-from tests.httpfakes import HOST, Connection, RawBackend, RawCaller, Read
+from tests.httpfakes import HOST, Connection, RawBackend, RawCaller, ReceivedAnswer
 from tests.loop import LoopTestCase, eventually, fired
 
 
@@ -100,11 +100,11 @@
         version: int = await self.daemon.store.put("policy", value, expected)
         return version
 
-    async def ask(self, request: bytes, number: int = 1) -> Read:
+    async def ask(self, request: bytes, number: int = 1) -> ReceivedAnswer:
         async with RawCaller(self.daemons[number - 1].caller_port) as caller:
-            return await caller.ask(request)
+            return await caller.send(request)
 
-    async def get(self, path: bytes, number: int = 1) -> Read:
+    async def get(self, path: bytes, number: int = 1) -> ReceivedAnswer:
         return await self.ask(b"GET " + path + b" HTTP/1.1\r\nHost: x\r\n\r\n", number)
 
     async def all_ready(self) -> None:
@@ -210,7 +210,7 @@
                 self.assertFalse(stop.done())
                 go_on.set()
                 read = await pack
-                self.assertEqual((read.body, read.cut), (b"halfhalf", False))
+                self.assertEqual((read.body, read.truncated), (b"halfhalf", False))
                 await stop
 
         self.run_on_loop(work())
--- a/tests/test_requestdriver.py
+++ b/tests/test_requestdriver.py
@@ -5,7 +5,7 @@
 
 from briarspur.limitsettings import LimitSettings
 from briarspur.messages import Failure
-from tests.httpfakes import Connection, DirectCore, Front, RawBackend, RawCaller, Read
+from tests.httpfakes import Connection, DirectCore, HttpEntry, RawBackend, RawCaller, ReceivedAnswer
 from tests.loop import LoopTestCase, eventually
 
 CHUNK = b"x" * 65_536
@@ -15,7 +15,7 @@
     await connection.reader.read()
 
 
-async def short(connection: Connection, head: bytes) -> None:
+async def truncated(connection: Connection, head: bytes) -> None:
     connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort")
     connection.writer.close()
 
@@ -27,22 +27,22 @@
 class FailureTest(LoopTestCase):
     """What a caller receives when an attempt fails."""
 
-    def read(self, script: object, core: DirectCore) -> Read:
-        async def work() -> Read:
+    def read_answer(self, script: object, core: DirectCore) -> ReceivedAnswer:
+        async def work() -> ReceivedAnswer:
             async with RawBackend(script) as backend:  # type: ignore[arg-type]
                 core.target = backend.address
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
-                    read = await caller.get(b"/times/")
-                    await eventually(lambda: front.driver.open_requests == 0)
-                    return read
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
+                    answer = await caller.get(b"/times/")
+                    await eventually(lambda: entry.driver.open_requests == 0)
+                    return answer
 
         return self.run_on_loop(work())
 
     def test_shed_request_is_reported_as_not_run(self) -> None:
         core = DirectCore(None)  # type: ignore[arg-type]
-        read = self.read(shed, core)
-        self.assertEqual(json.loads(read.body)["ran"], "no")
-        self.assertEqual(read.headers[b"retry-after"], b"3")
+        answer = self.read_answer(shed, core)
+        self.assertEqual(json.loads(answer.body)["ran"], "no")
+        self.assertEqual(answer.headers[b"retry-after"], b"3")
         self.assertEqual(core.events, [("failed", Failure.SHED, 3.0, 0, False, False)])
 
     def test_504_of_a_backend_server_counts_as_a_passed_deadline(self) -> None:
@@ -56,8 +56,8 @@
             connection.send_answer(b"", b"504 Gateway Timeout")
 
         core = DirectCore(None)  # type: ignore[arg-type]
-        read = self.read(too_late, core)
-        self.assertEqual(json.loads(read.body)["ran"], "unknown")
+        answer = self.read_answer(too_late, core)
+        self.assertEqual(json.loads(answer.body)["ran"], "unknown")
         self.assertEqual(core.events, [("failed", Failure.DEADLINE, None, 0, False, False)])
 
     def test_plain_503_is_an_answer(self) -> None:
@@ -65,8 +65,8 @@
             connection.send_answer(b"busy", b"503 Busy")
 
         core = DirectCore(None)  # type: ignore[arg-type]
-        read = self.read(unavailable, core)
-        self.assertEqual((read.status, read.headers[b"briarspur-ran"]), (503, b"yes"))
+        answer = self.read_answer(unavailable, core)
+        self.assertEqual((answer.status, answer.headers[b"briarspur-ran"]), (503, b"yes"))
 
     def test_truncated_body_resets_the_connection_of_the_caller(self) -> None:
         """Guard against a truncated download that looks complete to the caller.
@@ -75,14 +75,14 @@
         its own check of the length fails.
         """
         core = DirectCore(None)  # type: ignore[arg-type]
-        read = self.read(short, core)
-        self.assertTrue(read.cut)
+        answer = self.read_answer(truncated, core)
+        self.assertTrue(answer.truncated)
         self.assertEqual(core.events[-1], ("failed", Failure.CUT_SHORT, None, 5, False, True))
 
     def test_truncated_answer_that_is_to_be_kept_is_refused(self) -> None:
         core = DirectCore(None, keep_answer=True)  # type: ignore[arg-type]
-        read = self.read(short, core)
-        self.assertEqual(json.loads(read.body)["name"], "OUTCOME_UNKNOWN")
+        answer = self.read_answer(truncated, core)
+        self.assertEqual(json.loads(answer.body)["name"], "OUTCOME_UNKNOWN")
         self.assertEqual(core.events, [("failed", Failure.CUT_SHORT, None, 0, False, True)])
 
     def test_answer_that_the_core_does_not_begin_is_dropped(self) -> None:
@@ -91,13 +91,13 @@
                 connection.send_answer(b"late")
 
             async with RawBackend(late) as backend:
-                core = DirectCore(backend.address, pass_on=False)
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
-                    read = await caller.get(b"/times/")
-                    self.assertEqual(read.status, 502)
-                    self.assertNotIn(b"late", read.body)
+                core = DirectCore(backend.address, relays=False)
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
+                    answer = await caller.get(b"/times/")
+                    self.assertEqual(answer.status, 502)
+                    self.assertNotIn(b"late", answer.body)
                     self.assertEqual(core.events, [("began", 200)])
-                    self.assertEqual(front.client.open_requests(), 0)
+                    self.assertEqual(entry.client.open_requests(), 0)
 
         self.run_on_loop(work())
 
@@ -108,7 +108,7 @@
         with Range and If-Range, and the caller reads one complete body.
         """
 
-        async def work() -> Read:
+        async def work() -> ReceivedAnswer:
             tag = b'ETag: "v1"\r\nAccept-Ranges: bytes\r\n'
 
             async def die_once(connection: Connection, head: bytes) -> None:
@@ -122,14 +122,16 @@
 
             async with RawBackend(die_once) as backend:
                 core = DirectCore(backend.address, resume=True)
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
-                    read = await caller.get(b"/times/")
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
+                    answer = await caller.get(b"/times/")
             self.assertIn(b"range: bytes=5-", backend.heads[1].lower())
             self.assertIn(b'if-range: "v1"', backend.heads[1].lower())
-            return read
+            return answer
 
-        read = self.run_on_loop(work())
-        self.assertEqual((read.status, read.body, read.cut), (200, b"0123456789", False))
+        answer = self.run_on_loop(work())
+        self.assertEqual(
+            (answer.status, answer.body, answer.truncated), (200, b"0123456789", False)
+        )
 
     def test_rest_of_a_replaced_file_is_not_appended(self) -> None:
         """Guard against a download that joins the halves of two versions of a file.
@@ -139,7 +141,7 @@
         connection is reset.
         """
 
-        async def work() -> Read:
+        async def work() -> ReceivedAnswer:
             async def replaced(connection: Connection, head: bytes) -> None:
                 tag = b'ETag: "v%d"\r\nAccept-Ranges: bytes\r\n' % len(backend.heads)
                 if len(backend.heads) == 1:
@@ -152,24 +154,24 @@
 
             async with RawBackend(replaced) as backend:
                 core = DirectCore(backend.address, resume=True)
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
                     return await caller.get(b"/times/")
 
-        self.assertTrue(self.run_on_loop(work()).cut)
+        self.assertTrue(self.run_on_loop(work()).truncated)
 
 
 class DeadlineTest(LoopTestCase):
     """No attempt stays open after its deadline."""
 
-    def read(self, script: object) -> tuple[Read, DirectCore]:
-        async def work() -> tuple[Read, DirectCore]:
+    def read_answer(self, script: object) -> tuple[ReceivedAnswer, DirectCore]:
+        async def work() -> tuple[ReceivedAnswer, DirectCore]:
             async with RawBackend(script) as backend:  # type: ignore[arg-type]
                 core = DirectCore(backend.address)
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
-                    read = await caller.get(b"/times/", b"Request-Timeout-Ms: 500\r\n")
-                    self.assertEqual(front.client.open_requests(), 0)
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
+                    answer = await caller.get(b"/times/", b"Request-Timeout-Ms: 500\r\n")
+                    self.assertEqual(entry.client.open_requests(), 0)
                     await eventually(lambda: backend.ended == 1)
-                    return read, core
+                    return answer, core
 
         return self.run_on_loop(work())
 
@@ -180,8 +182,8 @@
         caller must get a final answer at its deadline, and the connection to the backend server
         must be closed.
         """
-        read, core = self.read(silent)
-        self.assertEqual(json.loads(read.body)["ran"], "unknown")
+        answer, core = self.read_answer(silent)
+        self.assertEqual(json.loads(answer.body)["ran"], "unknown")
         self.assertEqual(core.events, [("failed", Failure.DEADLINE, None, 0, False, False)])
 
     def test_body_that_stalls_half_way(self) -> None:
@@ -189,8 +191,8 @@
             connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf")
             await connection.reader.read()
 
-        read, core = self.read(half)
-        self.assertTrue(read.cut)
+        answer, core = self.read_answer(half)
+        self.assertTrue(answer.truncated)
         self.assertEqual(core.events[-1], ("failed", Failure.DEADLINE, None, 4, False, False))
 
     def test_caller_that_stops_reading(self) -> None:
@@ -203,10 +205,10 @@
 
             async with RawBackend(large) as backend:
                 core = DirectCore(backend.address)
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
                     caller.writer.write(b"GET /times/ HTTP/1.1\r\nRequest-Timeout-Ms: 1000\r\n\r\n")
                     await eventually(lambda: len(core.events) == 2)
-                    self.assertEqual(front.client.open_requests(), 0)
+                    self.assertEqual(entry.client.open_requests(), 0)
                     self.assertEqual(core.events[1][1], Failure.DEADLINE)
 
         self.run_on_loop(work())
@@ -219,12 +221,12 @@
         async def work() -> None:
             async with RawBackend(silent) as backend:
                 core = DirectCore(backend.address)
-                async with Front(core) as front:
-                    async with RawCaller(front.caller_port) as caller:
+                async with HttpEntry(core) as entry:
+                    async with RawCaller(entry.caller_port) as caller:
                         caller.writer.write(b"GET /times/ HTTP/1.1\r\n\r\n")
                         await eventually(lambda: bool(backend.heads))
-                    await eventually(lambda: front.driver.open_requests == 0)
-                    self.assertEqual(front.client.open_requests(), 0)
+                    await eventually(lambda: entry.driver.open_requests == 0)
+                    self.assertEqual(entry.client.open_requests(), 0)
             self.assertEqual(core.events, [("gone",)])
 
         self.run_on_loop(work())
@@ -244,14 +246,14 @@
                 connection.send_answer(b"booked")
 
             async with RawBackend(booking) as backend:
-                core = DirectCore(backend.address, keep_answer=True, stays_after_caller=True)
-                async with Front(core) as front:
-                    async with RawCaller(front.caller_port) as caller:
+                core = DirectCore(backend.address, keep_answer=True, continues_without_caller=True)
+                async with HttpEntry(core) as entry:
+                    async with RawCaller(entry.caller_port) as caller:
                         caller.writer.write(b"POST /booking/ HTTP/1.1\r\n\r\n")
                         await eventually(lambda: bool(backend.heads))
                     await eventually(lambda: ("gone",) in core.events)
                     finish.set()
-                    await eventually(lambda: front.driver.open_requests == 0)
+                    await eventually(lambda: entry.driver.open_requests == 0)
             self.assertEqual(core.events[-1], ("ended", b"booked", 6))
 
         self.run_on_loop(work())
@@ -280,15 +282,15 @@
 
             async with RawBackend(large) as backend:
                 core = DirectCore(backend.address)
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
                     caller.writer.write(b"GET /times/ HTTP/1.1\r\n\r\n")
                     before = -1
                     while sent != before:
                         before = sent
                         await asyncio.sleep(0.2)
                     stalled_at = sent
-                    read = await caller.read()
-            self.assertEqual((len(read.body), read.cut), (67_108_864, False))
+                    answer = await caller.read()
+            self.assertEqual((len(answer.body), answer.truncated), (67_108_864, False))
             return stalled_at
 
         self.assertLess(self.run_on_loop(work()), 32_000_000)
@@ -301,9 +303,9 @@
             async with RawBackend(large) as backend:
                 core = DirectCore(backend.address, keep_answer=True)
                 limits = LimitSettings(remembered_answer_bytes=1_000)
-                async with Front(core, limits) as front, RawCaller(front.caller_port) as caller:
-                    read = await caller.get(b"/booking/")
-            self.assertEqual(read.body, CHUNK)
+                async with HttpEntry(core, limits) as entry, RawCaller(entry.caller_port) as caller:
+                    answer = await caller.get(b"/booking/")
+            self.assertEqual(answer.body, CHUNK)
             self.assertEqual(core.events[-1], ("ended", None, len(CHUNK)))
 
         self.run_on_loop(work())
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -8,7 +8,7 @@
 from briarspur.codes import CODES, Code
 from briarspur.limitsettings import LimitSettings
 from briarspur.messages import TargetAddress
-from tests.httpfakes import Connection, DirectCore, Front, RawBackend, RawCaller, Read
+from tests.httpfakes import Connection, DirectCore, HttpEntry, RawBackend, RawCaller, ReceivedAnswer
 from tests.loop import LoopTestCase, eventually
 
 NOWHERE = TargetAddress("times-1", "127.0.0.1", 1)
@@ -26,14 +26,14 @@
         async def work() -> None:
             async with (
                 RawBackend(answer_ok) as backend,
-                Front(DirectCore(backend.address)) as front,
-                RawCaller(front.caller_port) as caller,
+                HttpEntry(DirectCore(backend.address)) as entry,
+                RawCaller(entry.caller_port) as caller,
             ):
-                read = await caller.get(b"/times/a?b=c", b"Request-Timeout-Ms: 400\r\n")
-            self.assertEqual((read.status, read.body), (200, b"whole"))
-            self.assertEqual(read.headers[b"briarspur-code"], b"1000")
-            self.assertEqual(read.headers[b"briarspur-ran"], b"yes")
-            self.assertEqual(read.headers[b"briarspur-request-id"], b"abcd-1")
+                answer = await caller.get(b"/times/a?b=c", b"Request-Timeout-Ms: 400\r\n")
+            self.assertEqual((answer.status, answer.body), (200, b"whole"))
+            self.assertEqual(answer.headers[b"briarspur-code"], b"1000")
+            self.assertEqual(answer.headers[b"briarspur-ran"], b"yes")
+            self.assertEqual(answer.headers[b"briarspur-request-id"], b"abcd-1")
             head = backend.heads[0].lower()
             self.assertIn(b"get /times/a?b=c http/1.1", head)
             self.assertIn(b"request-timeout-ms: 3", head)
@@ -44,8 +44,8 @@
         async def work() -> None:
             async with (
                 RawBackend(answer_ok) as backend,
-                Front(DirectCore(backend.address)) as front,
-                RawCaller(front.caller_port) as caller,
+                HttpEntry(DirectCore(backend.address)) as entry,
+                RawCaller(entry.caller_port) as caller,
             ):
                 for _ in range(5):
                     await caller.get(b"/times/")
@@ -54,8 +54,11 @@
         self.run_on_loop(work())
 
     def test_look_up_and_status_pages(self) -> None:
-        async def work() -> list[Read]:
-            async with Front(DirectCore(NOWHERE)) as front, RawCaller(front.caller_port) as caller:
+        async def work() -> list[ReceivedAnswer]:
+            async with (
+                HttpEntry(DirectCore(NOWHERE)) as entry,
+                RawCaller(entry.caller_port) as caller,
+            ):
                 paths = (
                     b"/v1/lookup?service=times",
                     b"/v1/lookup?service=times&block=10.0.0.1",
@@ -68,11 +71,11 @@
                 )
                 return [await caller.get(path) for path in paths]
 
-        read = self.run_on_loop(work())
-        self.assertEqual([r.status for r in read], [200, 200, 400, 400, 400, 200, 200, 200])
-        self.assertEqual(json.loads(read[0].body)["block"], 127 << 24 | 1)
-        self.assertEqual(json.loads(read[1].body)["block"], 10 << 24 | 1)
-        self.assertTrue(all(b"briarspur-request-id" in r.headers for r in read))
+        answers = self.run_on_loop(work())
+        self.assertEqual([a.status for a in answers], [200, 200, 400, 400, 400, 200, 200, 200])
+        self.assertEqual(json.loads(answers[0].body)["block"], 127 << 24 | 1)
+        self.assertEqual(json.loads(answers[1].body)["block"], 10 << 24 | 1)
+        self.assertTrue(all(b"briarspur-request-id" in a.headers for a in answers))
 
     def test_request_bodies_are_not_written_to_files(self) -> None:
         """Guard against a valid large request that fails on a VM without disks.
@@ -81,15 +84,15 @@
         disk, or with a full one, the caller would get an internal error.
         """
 
-        async def work() -> Read:
+        async def work() -> ReceivedAnswer:
             async with (
                 RawBackend(answer_ok) as backend,
-                Front(DirectCore(backend.address)) as front,
-                RawCaller(front.caller_port) as caller,
+                HttpEntry(DirectCore(backend.address)) as entry,
+                RawCaller(entry.caller_port) as caller,
             ):
                 body = b"x" * 300_000
                 head = b"POST /booking/ HTTP/1.1\r\nContent-Length: 300000\r\n\r\n"
-                return await caller.ask(head + body)
+                return await caller.send(head + body)
 
         with unittest.mock.patch.object(tempfile, "TemporaryFile", side_effect=OSError("no disk")):
             self.assertEqual(self.run_on_loop(work()).status, 200)
@@ -104,16 +107,16 @@
         async def work() -> None:
             async with RawBackend(answer_ok) as backend:
                 core = DirectCore(backend.address)
-                async with Front(core, limits) as front, RawCaller(front.caller_port) as bad:
-                    read = await bad.ask(request)
-                    async with RawCaller(front.caller_port) as good:
+                async with HttpEntry(core, limits) as entry, RawCaller(entry.caller_port) as bad:
+                    answer = await bad.send(request)
+                    async with RawCaller(entry.caller_port) as good:
                         served = await good.get(b"/times/")
-            document = json.loads(read.body)
+            document = json.loads(answer.body)
             self.assertEqual(document["name"], code.name)
             self.assertEqual(document["ran"], CODES[code].ran.value)
-            self.assertEqual(read.headers[b"briarspur-code"], b"%d" % code)
-            self.assertEqual(read.headers[b"briarspur-ran"], CODES[code].ran.value.encode())
-            self.assertIn(b"briarspur-request-id", read.headers)
+            self.assertEqual(answer.headers[b"briarspur-code"], b"%d" % code)
+            self.assertEqual(answer.headers[b"briarspur-ran"], CODES[code].ran.value.encode())
+            self.assertIn(b"briarspur-request-id", answer.headers)
             self.assertEqual(served.body, b"whole")
             self.assertEqual(len(backend.heads), 1)
 
@@ -165,10 +168,10 @@
         the unread bytes, and the caller would see the reset and not the answer.
         """
 
-        async def work() -> Read:
+        async def work() -> ReceivedAnswer:
             async with (
-                Front(DirectCore(NOWHERE), SMALL) as front,
-                RawCaller(front.caller_port) as caller,
+                HttpEntry(DirectCore(NOWHERE), SMALL) as entry,
+                RawCaller(entry.caller_port) as caller,
             ):
                 caller.writer.write(b"POST / HTTP/1.1\r\nContent-Length: 8000000\r\n\r\n")
                 for _ in range(125):
@@ -202,28 +205,31 @@
         self.expect(b"POST / HTTP/1.1\r\nContent-Length: 9\r\n", Code.NOT_READ)
 
     def test_connection_beyond_the_limit_is_refused(self) -> None:
-        async def work() -> Read:
+        async def work() -> ReceivedAnswer:
             async with (
-                Front(DirectCore(NOWHERE), SMALL) as front,
-                RawCaller(front.caller_port) as one,
+                HttpEntry(DirectCore(NOWHERE), SMALL) as entry,
+                RawCaller(entry.caller_port) as one,
             ):
                 await one.get(b"/healthz")
-                async with RawCaller(front.caller_port) as two:
+                async with RawCaller(entry.caller_port) as two:
                     await two.get(b"/healthz")
-                    async with RawCaller(front.caller_port) as three:
+                    async with RawCaller(entry.caller_port) as three:
                         refused = await three.read()
                     self.assertEqual((await one.get(b"/healthz")).status, 200)
                     return refused
 
-        read = self.run_on_loop(work())
-        self.assertEqual((read.status, read.headers[b"retry-after"]), (503, b"1"))
+        answer = self.run_on_loop(work())
+        self.assertEqual((answer.status, answer.headers[b"retry-after"]), (503, b"1"))
 
     def test_forward_port_accepts_only_entries(self) -> None:
         async def work() -> None:
-            async with Front(DirectCore(NOWHERE)) as front, RawCaller(front.forward_port) as caller:
-                read = await caller.get(b"/times/")
-                self.assertEqual(json.loads(read.body)["name"], "BAD_REQUEST")
-            self.assertEqual(front.core.requests, [])
+            async with (
+                HttpEntry(DirectCore(NOWHERE)) as entry,
+                RawCaller(entry.forward_port) as caller,
+            ):
+                answer = await caller.get(b"/times/")
+                self.assertEqual(json.loads(answer.body)["name"], "BAD_REQUEST")
+            self.assertEqual(entry.core.requests, [])
 
         self.run_on_loop(work())
 
@@ -231,11 +237,11 @@
         async def work() -> None:
             async with (
                 RawBackend(answer_ok) as backend,
-                Front(DirectCore(backend.address)) as front,
-                RawCaller(front.caller_port) as caller,
+                HttpEntry(DirectCore(backend.address)) as entry,
+                RawCaller(entry.caller_port) as caller,
             ):
                 await caller.get(b"/times/", b"Briarspur-Forwarded-By: entry-2\r\n")
-            self.assertIsNone(front.core.requests[0].forwarded_by)
+            self.assertIsNone(entry.core.requests[0].forwarded_by)
             self.assertNotIn(b"forwarded-by", backend.heads[0].lower())
 
         self.run_on_loop(work())
@@ -250,7 +256,7 @@
         The port and idle connections are closed, but the open request must get its complete answer.
         """
 
-        async def work() -> Read:
+        async def work() -> ReceivedAnswer:
             finish = asyncio.Event()
 
             async def slow(connection: Connection, head: bytes) -> None:
@@ -260,16 +266,16 @@
 
             async with (
                 RawBackend(slow) as backend,
-                Front(DirectCore(backend.address)) as front,
-                RawCaller(front.caller_port) as caller,
+                HttpEntry(DirectCore(backend.address)) as entry,
+                RawCaller(entry.caller_port) as caller,
             ):
                 reading = asyncio.ensure_future(caller.get(b"/times/"))
-                await eventually(lambda: bool(front.core.events))
-                await front.server.close()
+                await eventually(lambda: bool(entry.core.events))
+                await entry.server.close()
                 finish.set()
-                read = await reading
+                answer = await reading
                 self.assertEqual(await caller.reader.read(), b"")
-                return read
+                return answer
 
-        read = self.run_on_loop(work())
-        self.assertEqual((read.body, read.cut), (b"halfhalf", False))
+        answer = self.run_on_loop(work())
+        self.assertEqual((answer.body, answer.truncated), (b"halfhalf", False))
