--- a/briarspur/gateway/frontend.py
+++ b/briarspur/gateway/frontend.py
@@ -8,13 +8,13 @@
 from twisted.web.http import HTTPChannel
 
 from briarspur.answerhead import AnswerHead
+from briarspur.bufferedrequest import BufferedRequest, Flow, FlowProducer
 from briarspur.channel import CallerChannel, ChannelClock, ChannelFactory
 from briarspur.codes import CODES
 from briarspur.gateway.backendrequest import IncomingRequest
 from briarspur.gateway.configuration import Limits
 from briarspur.gateway.exchange import Exchange
 from briarspur.gateway.work import Refused
-from briarspur.heldrequest import Flow, FlowProducer, HeldRequest
 from briarspur.limitsettings import LimitSettings
 from briarspur.refusal import Refusal
 
@@ -65,7 +65,7 @@
         self.factory = ChannelFactory(
             clock, self._limits(Limits()), self._make_request, lambda: "", handler.refused_unread
         )
-        self.factory.most_held = int(memory_bytes * MAX_BODY_MEMORY_SHARE)
+        self.factory.max_buffered_bytes = int(memory_bytes * MAX_BODY_MEMORY_SHARE)
 
     def apply_limits(self, limits: Limits) -> None:
         """Apply the limits of a configuration to connections made from now on."""
@@ -88,7 +88,7 @@
         return FrontendRequest(channel, self._handler)
 
 
-class FrontendRequest(HeldRequest):
+class FrontendRequest(BufferedRequest):
     """One request of a caller; implements :class:`briarspur.gateway.exchange.Caller`."""
 
     def __init__(self, channel: HTTPChannel, handler: RequestHandler) -> None:
@@ -98,7 +98,7 @@
 
     def process(self) -> None:
         """Pass the complete request to the handler."""
-        request = IncomingRequest(self.method, self.uri, self.requestHeaders, self.take_body())
+        request = IncomingRequest(self.method, self.uri, self.requestHeaders, self.pop_body())
         self._exchange = self._handler.handle(request, self)
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
--- a/tests/gateway/test_frontend.py
+++ b/tests/gateway/test_frontend.py
@@ -84,7 +84,7 @@
     def test_buffered_bodies_do_not_exceed_their_share_of_memory(self) -> None:
         for _ in range(50):
             self.upload()
-        held = self.frontend.factory.held_bytes
+        held = self.frontend.factory.buffered_bytes
         self.assertLessEqual(held, MAX_BODY_MEMORY_SHARE * MEMORY_BYTES)
         self.assertEqual(
             int(MAX_BODY_MEMORY_SHARE * MEMORY_BYTES) // BODY_BYTES, len(self.handler.handled)
--- a/tests/test_carry.py
+++ b/tests/test_requestdriver.py
@@ -1,11 +1,11 @@
-"""Tests of how requests are carried: answers, failures and callers that leave."""
+"""Tests of the request driver: answers, failures and callers that disconnect."""
 
 import asyncio
 import json
 
 from briarspur.limitsettings import LimitSettings
 from briarspur.messages import Failure
-from tests.httpfakes import Connection, DirectCore, Front, RawBackend, RawCaller, Read
+from tests.httpfakes import Connection, DirectCore, HttpEntry, RawBackend, RawCaller, ReceivedAnswer
 from tests.loop import LoopTestCase, eventually
 
 CHUNK = b"x" * 65_536
@@ -15,7 +15,7 @@
     await connection.reader.read()
 
 
-async def short(connection: Connection, head: bytes) -> None:
+async def truncated(connection: Connection, head: bytes) -> None:
     connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort")
     connection.writer.close()
 
@@ -25,39 +25,39 @@
 
 
 class FailureTest(LoopTestCase):
-    """What a caller sees of an attempt that fails."""
+    """What a caller receives when an attempt fails."""
 
-    def read(self, script: object, core: DirectCore) -> Read:
-        async def work() -> Read:
+    def read_answer(self, script: object, core: DirectCore) -> ReceivedAnswer:
+        async def work() -> ReceivedAnswer:
             async with RawBackend(script) as backend:  # type: ignore[arg-type]
                 core.target = backend.address
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
-                    read = await caller.get(b"/times/")
-                    await eventually(lambda: front.carrier.open_requests == 0)
-                    return read
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
+                    answer = await caller.get(b"/times/")
+                    await eventually(lambda: entry.driver.open_requests == 0)
+                    return answer
 
         return self.run_on_loop(work())
 
-    def test_shed_is_told_as_not_run(self) -> None:
+    def test_shed_request_is_reported_as_not_run(self) -> None:
         core = DirectCore(None)  # type: ignore[arg-type]
-        read = self.read(shed, core)
-        self.assertEqual(json.loads(read.body)["ran"], "no")
-        self.assertEqual(read.headers[b"retry-after"], b"3")
+        answer = self.read_answer(shed, core)
+        self.assertEqual(json.loads(answer.body)["ran"], "no")
+        self.assertEqual(answer.headers[b"retry-after"], b"3")
         self.assertEqual(core.events, [("failed", Failure.SHED, 3.0, 0, False, False)])
 
-    def test_504_of_a_backend_server_is_a_passed_deadline(self) -> None:
-        """A passenger's page says 'whole answer' over an empty timetable.
+    def test_504_of_a_backend_server_counts_as_a_passed_deadline(self) -> None:
+        """Guard against an empty timetable that is shown as a complete answer.
 
-        The backend server gives up at the deadline it was sent and answers 504, which was passed on
-        as an answer with code 1000. Seen in a story on a busy machine.
+        A backend server that misses the deadline that it was sent answers 504. On a busy machine,
+        such a 504 was relayed as an answer with code 1000.
         """
 
         async def too_late(connection: Connection, head: bytes) -> None:
             connection.send_answer(b"", b"504 Gateway Timeout")
 
         core = DirectCore(None)  # type: ignore[arg-type]
-        read = self.read(too_late, core)
-        self.assertEqual(json.loads(read.body)["ran"], "unknown")
+        answer = self.read_answer(too_late, core)
+        self.assertEqual(json.loads(answer.body)["ran"], "unknown")
         self.assertEqual(core.events, [("failed", Failure.DEADLINE, None, 0, False, False)])
 
     def test_plain_503_is_an_answer(self) -> None:
@@ -65,50 +65,50 @@
             connection.send_answer(b"busy", b"503 Busy")
 
         core = DirectCore(None)  # type: ignore[arg-type]
-        read = self.read(unavailable, core)
-        self.assertEqual((read.status, read.headers[b"briarspur-ran"]), (503, b"yes"))
+        answer = self.read_answer(unavailable, core)
+        self.assertEqual((answer.status, answer.headers[b"briarspur-ran"]), (503, b"yes"))
 
-    def test_short_body_cuts_the_caller(self) -> None:
-        """A chart pack that ends half-way must not look complete to the harbour office.
+    def test_truncated_body_resets_the_connection_of_the_caller(self) -> None:
+        """Guard against a truncated download that looks complete to the caller.
 
-        The backend server dies during the download. The caller's connection is reset, so that its
-        own check of the length fails.
+        The backend server crashes during the download. The caller's connection is reset, so that
+        its own check of the length fails.
         """
         core = DirectCore(None)  # type: ignore[arg-type]
-        read = self.read(short, core)
-        self.assertTrue(read.cut)
+        answer = self.read_answer(truncated, core)
+        self.assertTrue(answer.truncated)
         self.assertEqual(core.events[-1], ("failed", Failure.CUT_SHORT, None, 5, False, True))
 
-    def test_short_answer_that_is_kept_is_refused_whole(self) -> None:
+    def test_truncated_answer_that_is_to_be_kept_is_refused(self) -> None:
         core = DirectCore(None, keep_answer=True)  # type: ignore[arg-type]
-        read = self.read(short, core)
-        self.assertEqual(json.loads(read.body)["name"], "OUTCOME_UNKNOWN")
+        answer = self.read_answer(truncated, core)
+        self.assertEqual(json.loads(answer.body)["name"], "OUTCOME_UNKNOWN")
         self.assertEqual(core.events, [("failed", Failure.CUT_SHORT, None, 0, False, True)])
 
-    def test_answer_that_is_not_begun_is_dropped(self) -> None:
+    def test_answer_that_the_core_does_not_begin_is_dropped(self) -> None:
         async def work() -> None:
             async def late(connection: Connection, head: bytes) -> None:
                 connection.send_answer(b"late")
 
             async with RawBackend(late) as backend:
-                core = DirectCore(backend.address, pass_on=False)
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
-                    read = await caller.get(b"/times/")
-                    self.assertEqual(read.status, 502)
-                    self.assertNotIn(b"late", read.body)
+                core = DirectCore(backend.address, relays=False)
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
+                    answer = await caller.get(b"/times/")
+                    self.assertEqual(answer.status, 502)
+                    self.assertNotIn(b"late", answer.body)
                     self.assertEqual(core.events, [("began", 200)])
-                    self.assertEqual(front.client.open_requests(), 0)
+                    self.assertEqual(entry.client.open_requests(), 0)
 
         self.run_on_loop(work())
 
-    def test_cut_download_is_resumed(self) -> None:
-        """A backend server dies during a download, and the architect notices nothing.
+    def test_truncated_download_is_resumed(self) -> None:
+        """A download continues after a backend server crashes in the middle of it.
 
-        The first server sends half of a file with a strong entity tag. The rest is asked for by
-        Range and If-Range, and the caller reads one whole body.
+        The first answer ends after half of a file with a strong entity tag. The rest is requested
+        with Range and If-Range, and the caller reads one complete body.
         """
 
-        async def work() -> Read:
+        async def work() -> ReceivedAnswer:
             tag = b'ETag: "v1"\r\nAccept-Ranges: bytes\r\n'
 
             async def die_once(connection: Connection, head: bytes) -> None:
@@ -122,23 +122,26 @@
 
             async with RawBackend(die_once) as backend:
                 core = DirectCore(backend.address, resume=True)
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
-                    read = await caller.get(b"/times/")
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
+                    answer = await caller.get(b"/times/")
             self.assertIn(b"range: bytes=5-", backend.heads[1].lower())
             self.assertIn(b'if-range: "v1"', backend.heads[1].lower())
-            return read
+            return answer
 
-        read = self.run_on_loop(work())
-        self.assertEqual((read.status, read.body, read.cut), (200, b"0123456789", False))
+        answer = self.run_on_loop(work())
+        self.assertEqual(
+            (answer.status, answer.body, answer.truncated), (200, b"0123456789", False)
+        )
 
-    def test_rest_of_another_file_is_not_joined(self) -> None:
-        """A plan set is replaced between two halves of a download.
+    def test_rest_of_a_replaced_file_is_not_appended(self) -> None:
+        """Guard against a download that joins the halves of two versions of a file.
 
-        Joined, the halves would be a file of the right length that was never published. The
-        second server answers with another entity tag, so the caller's connection is cut.
+        The file is replaced between the two halves. Joined, they would have the right length, but
+        such a file was never published. The second answer has another entity tag, so the caller's
+        connection is reset.
         """
 
-        async def work() -> Read:
+        async def work() -> ReceivedAnswer:
             async def replaced(connection: Connection, head: bytes) -> None:
                 tag = b'ETag: "v%d"\r\nAccept-Ranges: bytes\r\n' % len(backend.heads)
                 if len(backend.heads) == 1:
@@ -151,44 +154,45 @@
 
             async with RawBackend(replaced) as backend:
                 core = DirectCore(backend.address, resume=True)
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
                     return await caller.get(b"/times/")
 
-        self.assertTrue(self.run_on_loop(work()).cut)
+        self.assertTrue(self.run_on_loop(work()).truncated)
 
 
 class DeadlineTest(LoopTestCase):
-    """Nothing is held past its deadline."""
+    """No attempt stays open after its deadline."""
 
-    def read(self, script: object) -> tuple[Read, DirectCore]:
-        async def work() -> tuple[Read, DirectCore]:
+    def read_answer(self, script: object) -> tuple[ReceivedAnswer, DirectCore]:
+        async def work() -> tuple[ReceivedAnswer, DirectCore]:
             async with RawBackend(script) as backend:  # type: ignore[arg-type]
                 core = DirectCore(backend.address)
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
-                    read = await caller.get(b"/times/", b"Request-Timeout-Ms: 500\r\n")
-                    self.assertEqual(front.client.open_requests(), 0)
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
+                    answer = await caller.get(b"/times/", b"Request-Timeout-Ms: 500\r\n")
+                    self.assertEqual(entry.client.open_requests(), 0)
                     await eventually(lambda: backend.ended == 1)
-                    return read, core
+                    return answer, core
 
         return self.run_on_loop(work())
 
-    def test_silent_backend_server(self) -> None:
-        """A backend server hangs, and a family waits on the pontoon without a word.
+    def test_backend_server_that_never_answers(self) -> None:
+        """Guard against a caller that waits forever for a backend server that hangs.
 
-        It took the request and says nothing, its connection stays open. The caller must get a
-        final answer at its deadline, and the backend server must see that nobody waits any more.
+        The backend server reads the request, does not answer, and keeps its connection open. The
+        caller must get a final answer at its deadline, and the connection to the backend server
+        must be closed.
         """
-        read, core = self.read(silent)
-        self.assertEqual(json.loads(read.body)["ran"], "unknown")
+        answer, core = self.read_answer(silent)
+        self.assertEqual(json.loads(answer.body)["ran"], "unknown")
         self.assertEqual(core.events, [("failed", Failure.DEADLINE, None, 0, False, False)])
 
-    def test_body_that_stops_half_way(self) -> None:
+    def test_body_that_stalls_half_way(self) -> None:
         async def half(connection: Connection, head: bytes) -> None:
             connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf")
             await connection.reader.read()
 
-        read, core = self.read(half)
-        self.assertTrue(read.cut)
+        answer, core = self.read_answer(half)
+        self.assertTrue(answer.truncated)
         self.assertEqual(core.events[-1], ("failed", Failure.DEADLINE, None, 4, False, False))
 
     def test_caller_that_stops_reading(self) -> None:
@@ -201,67 +205,68 @@
 
             async with RawBackend(large) as backend:
                 core = DirectCore(backend.address)
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
                     caller.writer.write(b"GET /times/ HTTP/1.1\r\nRequest-Timeout-Ms: 1000\r\n\r\n")
                     await eventually(lambda: len(core.events) == 2)
-                    self.assertEqual(front.client.open_requests(), 0)
+                    self.assertEqual(entry.client.open_requests(), 0)
                     self.assertEqual(core.events[1][1], Failure.DEADLINE)
 
         self.run_on_loop(work())
 
 
-class LeavingCallerTest(LoopTestCase):
-    """A caller that leaves cancels what may be cancelled."""
+class DisconnectTest(LoopTestCase):
+    """The disconnect of a caller cancels its request, unless the answer must be recorded."""
 
     def test_idempotent_request_is_cancelled(self) -> None:
         async def work() -> None:
             async with RawBackend(silent) as backend:
                 core = DirectCore(backend.address)
-                async with Front(core) as front:
-                    async with RawCaller(front.caller_port) as caller:
+                async with HttpEntry(core) as entry:
+                    async with RawCaller(entry.caller_port) as caller:
                         caller.writer.write(b"GET /times/ HTTP/1.1\r\n\r\n")
                         await eventually(lambda: bool(backend.heads))
-                    await eventually(lambda: front.carrier.open_requests == 0)
-                    self.assertEqual(front.client.open_requests(), 0)
+                    await eventually(lambda: entry.driver.open_requests == 0)
+                    self.assertEqual(entry.client.open_requests(), 0)
             self.assertEqual(core.events, [("gone",)])
 
         self.run_on_loop(work())
 
-    def test_once_only_request_runs_on_and_is_recorded(self) -> None:
-        """A skipper's telephone loses its connection while a booking is written.
+    def test_once_only_request_continues_and_is_recorded(self) -> None:
+        """Guard against a booking whose answer is lost when its caller disconnects.
 
-        The booking must run to its end, and its answer must be kept for the skipper's repeat.
+        The caller loses its connection while the booking is written. The attempt must run to its
+        end, and its answer must be kept for the caller's repeat.
         """
 
         async def work() -> None:
-            go_on = asyncio.Event()
+            finish = asyncio.Event()
 
             async def booking(connection: Connection, head: bytes) -> None:
-                await go_on.wait()
+                await finish.wait()
                 connection.send_answer(b"booked")
 
             async with RawBackend(booking) as backend:
-                core = DirectCore(backend.address, keep_answer=True, stays_after_caller=True)
-                async with Front(core) as front:
-                    async with RawCaller(front.caller_port) as caller:
+                core = DirectCore(backend.address, keep_answer=True, continues_without_caller=True)
+                async with HttpEntry(core) as entry:
+                    async with RawCaller(entry.caller_port) as caller:
                         caller.writer.write(b"POST /booking/ HTTP/1.1\r\n\r\n")
                         await eventually(lambda: bool(backend.heads))
                     await eventually(lambda: ("gone",) in core.events)
-                    go_on.set()
-                    await eventually(lambda: front.carrier.open_requests == 0)
+                    finish.set()
+                    await eventually(lambda: entry.driver.open_requests == 0)
             self.assertEqual(core.events[-1], ("ended", b"booked", 6))
 
         self.run_on_loop(work())
 
 
 class BackpressureTest(LoopTestCase):
-    """A caller that reads slowly makes the backend server wait; nothing piles up here."""
+    """A caller that reads slowly makes the backend server wait; the entry does not buffer."""
 
     def test_slow_reader_pauses_the_backend_server(self) -> None:
-        """Ten harbour offices fetch chart packs over slow links, and the entry's memory is full.
+        """Guard against large answers that fill the entry's memory while callers read slowly.
 
-        Without backpressure the entry reads each pack at the backend's speed and keeps what its
-        caller has not read. The sum over all sockets' buffers bounds what may be under way here.
+        Without backpressure, the entry reads each answer at the speed of the backend server and
+        buffers what its caller has not read. The limit here is the sum of all sockets' buffers.
         """
 
         async def work() -> int:
@@ -277,20 +282,20 @@
 
             async with RawBackend(large) as backend:
                 core = DirectCore(backend.address)
-                async with Front(core) as front, RawCaller(front.caller_port) as caller:
+                async with HttpEntry(core) as entry, RawCaller(entry.caller_port) as caller:
                     caller.writer.write(b"GET /times/ HTTP/1.1\r\n\r\n")
                     before = -1
                     while sent != before:
                         before = sent
                         await asyncio.sleep(0.2)
                     stalled_at = sent
-                    read = await caller.read()
-            self.assertEqual((len(read.body), read.cut), (67_108_864, False))
+                    answer = await caller.read()
+            self.assertEqual((len(answer.body), answer.truncated), (67_108_864, False))
             return stalled_at
 
         self.assertLess(self.run_on_loop(work()), 32_000_000)
 
-    def test_kept_answer_beyond_the_bound_is_passed_on_not_kept(self) -> None:
+    def test_answer_too_large_to_keep_is_relayed(self) -> None:
         async def work() -> None:
             async def large(connection: Connection, head: bytes) -> None:
                 connection.send_answer(CHUNK)
@@ -298,9 +303,9 @@
             async with RawBackend(large) as backend:
                 core = DirectCore(backend.address, keep_answer=True)
                 limits = LimitSettings(remembered_answer_bytes=1_000)
-                async with Front(core, limits) as front, RawCaller(front.caller_port) as caller:
-                    read = await caller.get(b"/booking/")
-            self.assertEqual(read.body, CHUNK)
+                async with HttpEntry(core, limits) as entry, RawCaller(entry.caller_port) as caller:
+                    answer = await caller.get(b"/booking/")
+            self.assertEqual(answer.body, CHUNK)
             self.assertEqual(core.events[-1], ("ended", None, len(CHUNK)))
 
         self.run_on_loop(work())
