--- a/briarspur/consolepages.py
+++ b/briarspur/consolepages.py
@@ -29,7 +29,7 @@
 from briarspur.policy import PolicyDocument, parse_policy
 from briarspur.porcelain import Race
 from briarspur.repository import PolicyRepository
-from briarspur.revision import MAX_NOTE
+from briarspur.revision import MAX_NOTE_LENGTH
 from briarspur.serviceview import ServiceView
 
 __all__ = ["Asked", "Console", "Page"]
@@ -272,7 +272,7 @@
             logs.event("change-refused", logging.WARNING, reason="no operator's token")
             fault = "The operator's token is wrong."
             return await self._show_review(asked, document, base, asked.get("note"), fault)
-        signature = sign(name, asked.get("note")[:MAX_NOTE])
+        signature = sign(name, asked.get("note")[:MAX_NOTE_LENGTH])
         result = await porcelain.apply(self._repository, document, base, signature)
         if result.is_error():
             logs.event("change-refused", operator=name, reason="conflict", expected_version=base)
--- a/briarspur/revision.py
+++ b/briarspur/revision.py
@@ -1,7 +1,7 @@
-"""Revisions of the policy as the object store keeps them.
+"""The stored form of the policy's revisions.
 
-The object ``policy`` holds the revision in force. Each revision is kept as
-``history/policy/<version>`` too, with the version in 12 digits so that names sort by version.
+The object ``policy`` holds the revision in force. Each revision is also stored as
+``history/policy/<version>``, with the version padded to 12 digits so that names sort by version.
 """
 
 import json
@@ -16,8 +16,8 @@
 
 __all__ = [
     "HISTORY_PREFIX",
-    "MAX_AUTHOR",
-    "MAX_NOTE",
+    "MAX_AUTHOR_LENGTH",
+    "MAX_NOTE_LENGTH",
     "POLICY_NAME",
     "Draft",
     "Revision",
@@ -29,16 +29,16 @@
 POLICY_NAME = "policy"
 HISTORY_PREFIX = "history/policy/"
 VERSION_DIGITS = 12
-MAX_AUTHOR = 100
-MAX_NOTE = 1_000
+MAX_AUTHOR_LENGTH = 100
+MAX_NOTE_LENGTH = 1_000
 
 
 class EnvelopeDocument(Document):
     """The stored form of a revision."""
 
     token: str = Field(min_length=1, max_length=100)
-    author: str = Field(max_length=MAX_AUTHOR)
-    note: str = Field(max_length=MAX_NOTE)
+    author: str = Field(max_length=MAX_AUTHOR_LENGTH)
+    note: str = Field(max_length=MAX_NOTE_LENGTH)
     written_at: str = Field(default="", max_length=40, description="the author's UTC clock")
     previous: int = Field(default=ABSENT, ge=ABSENT, description="the version it replaced")
     body: PolicyDocument
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Draft:
-    """A policy to be accepted; ``token`` is unique to this one write."""
+    """A policy to be written as a new revision; ``token`` is unique to this write."""
 
     document: PolicyDocument
     token: str
@@ -64,13 +64,13 @@
     version : int
         The store's version of the object ``policy`` with this revision.
     token : str
-        Unique to one write, so that its author can tell after a lost answer whose write it was.
+        Unique to one write, so that after a lost response the writer can recognize its own write.
     written_at : str
-        ISO 8601 time by the author's clock; empty if not told. For people only: order is by
-        version.
+        ISO 8601 time by the author's clock; empty if unknown. For display only: revisions are
+        ordered by version.
     previous : int
-        The version it replaced, so that the history can be walked: versions come from one counter
-        of the whole store and so are not consecutive. ``ABSENT`` if there was none.
+        The version that this one replaced; ``ABSENT`` if there was none. It links the history,
+        because versions come from one counter for the whole store and are not consecutive.
     """
 
     version: int
@@ -83,12 +83,12 @@
 
 
 def history_name(version: int) -> str:
-    """Return the name of the object that keeps the revision of ``version``."""
+    """Return the name of the history object for ``version``."""
     return f"{HISTORY_PREFIX}{version:0{VERSION_DIGITS}d}"
 
 
 def encode_revision(draft: Draft, previous: int) -> bytes:
-    """Return the stored form of a draft that replaces the version ``previous``."""
+    """Encode a draft that replaces the version ``previous``."""
     envelope = {
         "token": draft.token,
         "author": draft.author,
@@ -101,12 +101,12 @@
 
 
 def decode_revision(value: bytes, version: int) -> Revision:
-    """Return the revision in a stored value.
+    """Decode a stored revision.
 
     Raises
     ------
     DocumentError
-        The value is no valid envelope or holds no valid policy.
+        The value is not a valid envelope or does not contain a valid policy.
     """
     try:
         envelope = EnvelopeDocument.model_validate_json(value)
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -1,4 +1,4 @@
-"""Tests of accepting revisions of the policy."""
+"""Tests of writing revisions of the policy."""
 
 import json
 import unittest
@@ -25,13 +25,13 @@
 
 
 class AcceptTest(unittest.IsolatedAsyncioTestCase):
-    """A revision is accepted once, at the version its author saw, or not at all."""
+    """A revision takes effect once and only at the version that its author read."""
 
     def setUp(self) -> None:
         self.store = FakeStore()
         self.repository = PolicyRepository(self.store, at_once)
 
-    async def test_versions_rise_and_are_kept(self) -> None:
+    async def test_versions_increase_and_are_in_the_history(self) -> None:
         await self.repository.accept(draft("t1"), ABSENT)
         accepted = await self.repository.accept(draft("t2"), 1)
         self.assertGreater(accepted.ok.version, 1)
@@ -39,25 +39,24 @@
         self.assertEqual([r.version for r in await self.repository.history(10)], versions)
         self.assertEqual([r.token for r in await self.repository.history(1)], ["t2"])
 
-    async def test_a_racing_operator_is_refused_and_shown_what_is_in_force(self) -> None:
+    async def test_a_conflict_reports_the_revision_in_force(self) -> None:
         await self.repository.accept(draft("t1"), ABSENT)
         await self.repository.accept(draft("theirs"), 1)
-        raced = await self.repository.accept(draft("mine"), 1)
-        self.assertEqual(raced.error.current.token, "theirs")
+        result = await self.repository.accept(draft("mine"), 1)
+        self.assertEqual(result.error.current.token, "theirs")
 
-    async def test_a_lost_answer_is_not_taken_for_a_conflict(self) -> None:
-        # An operator applies a change; the store takes it and its answer is lost. Told
-        # "conflict", the operator would look for a colleague who does not exist, or apply the
-        # change twice.
+    async def test_a_lost_response_is_not_reported_as_a_conflict(self) -> None:
+        # The write takes effect but its response is lost. If a conflict were reported, the operator
+        # would look for another operator's change that does not exist, or apply the change twice.
         await self.repository.accept(draft("t1"), ABSENT)
         self.store.lost_answers = 1
         accepted = await self.repository.accept(draft("t2"), 1)
         self.assertEqual(accepted.ok.token, "t2")
         self.assertEqual(len(self.store.objects[POLICY_NAME]), 2)
 
-    async def test_an_old_read_does_not_deny_our_own_write(self) -> None:
-        # The answer is lost and the next reads come from a replica that lags. Believing them,
-        # the operator would be told that somebody else's change is in force.
+    async def test_a_stale_read_does_not_hide_our_own_write(self) -> None:
+        # The response is lost and the next reads come from a replica that lags. Trusting them would
+        # report that another operator's change is in force.
         await self.repository.accept(draft("t1"), ABSENT)
 
         def lag(name: str) -> None:
@@ -69,18 +68,18 @@
         accepted = await self.repository.accept(draft("t2"), 1)
         self.assertEqual(accepted.ok.token, "t2")
 
-    async def test_our_write_is_found_although_another_followed_it(self) -> None:
-        # Our write takes effect, its answer is lost, and a colleague changes the policy before
-        # we ask. Our change was in force and is in the history: it must not be called refused.
+    async def test_our_write_is_found_after_later_writes(self) -> None:
+        # Our write takes effect, its response is lost, and another operator changes the policy
+        # before the outcome is checked. Our change is in the history and must count as accepted.
         await self.repository.accept(draft("t1"), ABSENT)
-        colleague = PolicyRepository(self.store, at_once)
-        ours = self.store.put
+        other = PolicyRepository(self.store, at_once)
+        real_put = self.store.put
 
         async def put(name: str, value: bytes, expected_version: int) -> int:
-            self.store.put = ours  # type: ignore[method-assign]
-            written = await ours(name, value, expected_version)
-            await colleague.accept(draft("theirs"), written)
-            await colleague.accept(draft("theirs again"), written + 2)
+            self.store.put = real_put  # type: ignore[method-assign]
+            written = await real_put(name, value, expected_version)
+            await other.accept(draft("theirs"), written)
+            await other.accept(draft("theirs again"), written + 2)
             raise StoreUnclearError(name)
 
         real_complete = self.repository._complete_history
@@ -95,12 +94,12 @@
         history = await self.repository.history(10)
         self.assertEqual([r.token for r in history], ["theirs again", "theirs", "t2", "t1"])
 
-    async def test_a_write_that_never_arrived_is_written_again(self) -> None:
+    async def test_a_write_that_did_not_reach_the_store_is_repeated(self) -> None:
         self.store.unsent = 1
         accepted = await self.repository.accept(draft("t1"), ABSENT)
         self.assertEqual(accepted.ok.version, 1)
 
-    async def test_unsettled_and_unavailable_are_told_apart(self) -> None:
+    async def test_an_unknown_outcome_and_an_unavailable_store_raise_different_errors(self) -> None:
         self.store.unsent = 100
         with self.assertRaises(StoreUnclearError):
             await self.repository.accept(draft("t1"), ABSENT)
@@ -108,9 +107,9 @@
         with self.assertRaises(StoreUnavailableError):
             await self.repository.accept(draft("t1"), ABSENT)
 
-    async def test_a_crash_before_the_history_is_mended_by_the_next_revision(self) -> None:
-        # An operator's program dies after the policy is written and before its history is. The
-        # revision is in force; once another replaces it, nobody could roll back to it.
+    async def test_the_next_writer_stores_a_revision_missing_from_the_history(self) -> None:
+        # The writer crashes after writing the policy and before writing the history. The revision
+        # is in force; once another replaces it, nobody could roll back to it.
         value = json.dumps(
             {"token": "t1", "author": "ana", "note": "", "body": small_policy()}
         ).encode()
@@ -120,8 +119,8 @@
         kept = self.store.objects[history_name(1)][-1]
         self.assertEqual(decode_revision(kept.value, 1).token, "t1")
 
-    async def test_an_old_read_does_not_skip_the_mending(self) -> None:
-        # As above, and the next author's read of the policy is served by a replica that lags.
+    async def test_a_stale_read_does_not_skip_the_missing_revision(self) -> None:
+        # As above, but the next writer reads the policy from a replica that lags.
         await self.repository.accept(draft("t1"), ABSENT)
         value = self.store.objects[POLICY_NAME][-1].value
         version = await self.store.put(POLICY_NAME, value, 1)
@@ -130,7 +129,7 @@
         self.assertIn(history_name(version), self.store.objects)
 
     async def test_the_newest_revisions_are_kept_and_older_ones_deleted(self) -> None:
-        repository = PolicyRepository(self.store, at_once, keep=3)
+        repository = PolicyRepository(self.store, at_once, max_revisions=3)
         version = ABSENT
         for number in range(6):
             version = (await repository.accept(draft(f"t{number}"), version)).ok.version
@@ -139,9 +138,9 @@
         names = [name for name in self.store.objects if name.startswith(HISTORY_PREFIX)]
         self.assertEqual(len(names), 3)
 
-    async def test_a_failed_deletion_keeps_more_and_never_less(self) -> None:
-        # The author's program dies, or the store does, while an old revision is deleted.
-        repository = PolicyRepository(self.store, at_once, keep=2)
+    async def test_a_failed_deletion_never_loses_a_kept_revision(self) -> None:
+        # The writer or the store fails while an old revision is deleted.
+        repository = PolicyRepository(self.store, at_once, max_revisions=2)
         first = (await repository.accept(draft("t0"), ABSENT)).ok.version
         second = (await repository.accept(draft("t1"), first)).ok.version
         delete = self.store.delete
@@ -157,7 +156,7 @@
         kept = [revision.version for revision in await repository.history(10)]
         self.assertEqual(kept, [fourth, third])
 
-    async def test_a_value_that_is_no_envelope_is_refused(self) -> None:
+    async def test_a_value_that_is_not_an_envelope_is_rejected(self) -> None:
         await self.store.put(POLICY_NAME, b"{}", ABSENT)
         with self.assertRaises(DocumentError):
             await self.repository.current()
--- a/tests/test_repository_race.py
+++ b/tests/test_repository_race.py
@@ -1,4 +1,4 @@
-"""Randomised races of operators over a store that loses answers, lags and refuses."""
+"""Randomised tests of concurrent writers with lost responses, stale reads and refused calls."""
 
 import asyncio
 import json
@@ -21,13 +21,13 @@
 
 DOCUMENT = parse_policy(json.dumps(small_policy(targets=1, entries=1)))
 FAULTS = (*[None] * 12, *StoreFault, StoreFault.LOST_ANSWER)
-OPERATORS = 4
-ROUNDS = 6
+WRITERS_PER_ROUND = 4
+ROUND_COUNT = 6
 
 
 @dataclass
 class Outcomes:
-    """What operators were told, by the token of their draft."""
+    """Results returned to the writers, by the token of their draft."""
 
     accepted: dict[str, int] = field(default_factory=dict)
     refused: set[str] = field(default_factory=set)
@@ -36,7 +36,7 @@
 
 
 async def edit(store: MemoryStore, token: str, outcomes: Outcomes) -> None:
-    """One operator reads the policy, edits it and has the edit accepted, refused or unsettled."""
+    """Read the policy, write an edit of it and record the result."""
     repository = PolicyRepository(store, at_once)
     draft = Draft(DOCUMENT, token, "", "", "")
     try:
@@ -58,15 +58,15 @@
 
 
 async def race(seed: int) -> tuple[MemoryStore, Outcomes]:
-    """Let operators race; the driver picks which call goes next, and with which fault."""
+    """Run concurrent writers; pick the order of their calls and the faults at random."""
     rng = random.Random(seed)
     store, outcomes = MemoryStore(), Outcomes()
-    for round_ in range(ROUNDS):
+    for round_ in range(ROUND_COUNT):
         store.hold_calls = True
-        tokens = [f"{round_}-{number}" for number in range(OPERATORS)]
+        tokens = [f"{round_}-{number}" for number in range(WRITERS_PER_ROUND)]
         tasks = [asyncio.create_task(edit(store, token, outcomes)) for token in tokens]
         while not all(task.done() for task in tasks):
-            await settle()
+            await run_pending_tasks()
             store.stale_by = rng.choice((0, 0, 0, 1, 3))
             if store.held_calls:
                 rng.choice(store.held_calls).release(rng.choice(FAULTS))
@@ -74,12 +74,12 @@
                 rng.choice(tasks).cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         store.hold_calls, store.stale_by = False, 0
-    # A last, quiet edit mends what a crash left undone.
+    # A last edit without faults completes the history after a crash.
     await edit(store, "last", outcomes)
     return store, outcomes
 
 
-async def settle() -> None:
+async def run_pending_tasks() -> None:
     for _ in range(20):
         await asyncio.sleep(0)
 
@@ -96,7 +96,7 @@
 
 
 class RaceTest(unittest.TestCase):
-    """No edit that was accepted is lost, and none that was refused is in force."""
+    """No accepted edit is lost, and no refused edit comes into force."""
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=60)
     @given(st.integers(0, 2**32))
@@ -117,7 +117,7 @@
             self.assertEqual(revision.previous, base, "an edit replaced one it had not seen")
         self.assertIn("last", outcomes.accepted)
 
-    def test_the_faults_are_met(self) -> None:
+    def test_each_kind_of_result_occurs(self) -> None:
         kinds: Counter[str] = Counter()
         for seed in range(100):
             kinds += asyncio.run(race(seed))[1].kinds
