--- a/briarspur/entry.py
+++ b/briarspur/entry.py
@@ -129,7 +129,7 @@
 
     def watches_policy(self) -> bool:
         """Return whether this entry watches the policy in the store for its zone."""
-        return self._follow.watches(POLICY_NAME)
+        return self._follow.is_watcher(POLICY_NAME)
 
     def policy_version(self) -> int:
         """Return the version in force, 0 if there is none."""
@@ -279,7 +279,7 @@
 
     def _view_changed(self, view: MemberView) -> None:
         self.node.view_changed(view)
-        self._follow.members_changed(
+        self._follow.set_members(
             {i: member.zone for i, member in view.by_id.items() if not member.leaving}
         )
 
@@ -288,13 +288,13 @@
         me = Address(self.settings.host, self.settings.peer_port)
         while self.node.policy is None:
             await asyncio.sleep(BOOTSTRAP_PAUSE * (0.5 + self._rng.random()))
-            if not self._follow.store_fails(POLICY_NAME):
+            if not self._follow.is_store_failing(POLICY_NAME):
                 continue
             copy = await newest_copy(
                 self._peers, self._vms, me, POLICY_NAME, BOOTSTRAP_PEERS, self._rng
             )
             if copy is not None:
-                self._follow.offered(copy)
+                self._follow.receive_copy(copy)
 
     def _connections_of(self, target_id: str) -> int:
         policy = self.node.policy
--- a/briarspur/follow.py
+++ b/briarspur/follow.py
@@ -1,4 +1,4 @@
-"""Keeps the followed objects in force: from the store by turns, and from and to other entries."""
+"""Keeps the followed objects up to date, from the store and by exchange with other entries."""
 
 import asyncio
 import hashlib
@@ -18,60 +18,61 @@
 
 __all__ = ["Follow", "ObjectPeers"]
 
-PUSH_BYTES = 65_536
-"""Larger objects are not pushed; peers fetch them once, when they hear of the version."""
-IDLE_PAUSE = 0.2
-"""Least time between two calls that brought nothing new, should the store answer at once."""
+MAX_PUSH_BYTES = 65_536
+"""Larger objects are not pushed; peers fetch them once, when they learn of the version."""
+IDLE_DELAY_S = 0.2
+"""Delay after a call that returned nothing new, in case the store responds at once."""
 
 
 class ObjectPeers(Protocol):
-    """Other entries, by id; a call raises :class:`~briarspur.errors.PeerError` if it fails."""
+    """Calls to other entries by id; raise :class:`~briarspur.errors.PeerError` on failure."""
 
     async def fetch(self, entry: str, name: str, newer_than: int) -> ObjectCopy | None:
-        """Return the object if its version in force there is above ``newer_than``."""
+        """Fetch an object from an entry if its version there is above ``newer_than``."""
 
     async def offer(self, entry: str, copy: ObjectCopy) -> int:
-        """Hand an object over; return the version in force there afterwards."""
+        """Offer an object to an entry; return the version in force there afterwards."""
 
 
 class Follow:
-    """Follows objects for one entry; a context manager whose end stops it.
+    """Follows objects for one entry; a context manager that stops on exit.
 
     Parameters
     ----------
-    me, zone : str
+    entry_id, zone : str
         This entry's id and availability zone.
     store : ObjectStore
     peers : ObjectPeers
     followers : sequence of Follower
         One for each object.
     rng : random.Random
-        Of its own in each process, or all would call at one moment.
+        Seeded differently in each process; otherwise all would call the store at the same moment.
+    settings : PropagationSettings or None
     sleep : callable
-        Waits for seconds; replaced in tests.
+        Waits for a number of seconds; replaced in tests.
     metrics : Metrics or None
         Counts old versions that were ignored.
     """
 
     def __init__(
         self,
-        me: str,
+        entry_id: str,
         zone: str,
         store: ObjectStore,
         peers: ObjectPeers,
         followers: Sequence[Follower[Any]],
         rng: random.Random,
-        times: PropagationSettings | None = None,
+        settings: PropagationSettings | None = None,
         sleep: Callable[[float], Coroutine[Any, Any, None]] = asyncio.sleep,
         metrics: Metrics | None = None,
     ) -> None:
         self._metrics = metrics or NullMetrics()
-        self._times = times or PropagationSettings()
-        self._propagation = Propagation(me, zone, len(followers), rng, self._times)
+        self._settings = settings or PropagationSettings()
+        self._propagation = Propagation(entry_id, zone, len(followers), rng, self._settings)
         self._store = store
         self._peers = peers
         self._followers_by_name = {follower.name: follower for follower in followers}
-        self._readiness_by_name = {f.name: Readiness(self._times) for f in followers}
+        self._readiness_by_name = {f.name: Readiness(self._settings) for f in followers}
         self._wanted_by_name: dict[str, dict[str, int]] = {f.name: {} for f in followers}
         self._sleep = sleep
         self._peer_count = 0
@@ -91,23 +92,23 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def members_changed(self, zones_by_member: Mapping[str, str]) -> None:
-        """Take the live entries and their zones."""
+    def set_members(self, zones_by_member: Mapping[str, str]) -> None:
+        """Set the live entries and their zones."""
         self._propagation.set_members(zones_by_member)
         self._peer_count = len(zones_by_member.keys() - {self._propagation.entry_id})
-        gone = self._members_changed
+        previous_event = self._members_changed
         self._members_changed = asyncio.Event()
-        gone.set()
+        previous_event.set()
 
-    def watches(self, name: str) -> bool:
-        """Whether this entry is one of its zone's watchers of an object."""
+    def is_watcher(self, name: str) -> bool:
+        """Return whether this entry watches an object in the store for its zone."""
         return self._propagation.is_watcher(name)
 
     def is_ready(self, name: str) -> bool:
-        """Whether the version in force may be served by; see :class:`Readiness`.
+        """Return whether requests may be served with the version in force; see :class:`Readiness`.
 
-        Once ready it stays so: a newer version that is heard of and not yet fetched is no reason
-        to send callers away.
+        An object that was ready once stays ready: a newer version that is known but not yet fetched
+        is no reason to refuse requests.
         """
         if name in self._ready:
             return True
@@ -118,12 +119,12 @@
             self._ready.add(name)
         return name in self._ready
 
-    def store_fails(self, name: str) -> bool:
-        """Whether the last call of the store for an object failed."""
+    def is_store_failing(self, name: str) -> bool:
+        """Return whether the last store call for an object failed."""
         return self._readiness_by_name[name].store_failed
 
     def versions(self) -> tuple[ObjectVersion, ...]:
-        """Return the versions in force, for the heartbeats."""
+        """Return the versions in force, to be sent with heartbeats."""
         return tuple(
             ObjectVersion(follower.name, follower.version, follower.digest)
             for follower in self._followers_by_name.values()
@@ -131,117 +132,117 @@
         )
 
     def copy(self, name: str, newer_than: int) -> ObjectCopy | None:
-        """Return an object for a peer that fetches it, if ours is newer."""
+        """Return a copy of an object for a peer; None if it is not above ``newer_than``."""
         follower = self._followers_by_name.get(name)
         if follower is None or follower.stored is None or follower.version <= newer_than:
             return None
         return ObjectCopy(name, follower.version, follower.digest, follower.stored.value)
 
-    def offered(self, copy: ObjectCopy) -> int:
-        """Take a copy from a peer, if it is whole; return the version in force then."""
+    def receive_copy(self, copy: ObjectCopy) -> int:
+        """Apply a copy from a peer if its digest matches; return the version then in force."""
         follower = self._followers_by_name.get(copy.name)
         if follower is None:
             return 0
         if hashlib.sha256(copy.value).digest() == copy.digest:
-            self._take(follower, StoredObject(copy.name, copy.version, copy.value))
+            self._apply(follower, StoredObject(copy.name, copy.version, copy.value))
         return follower.version
 
-    def heard(self, sender: str, versions: Sequence[ObjectVersion]) -> None:
-        """Note the versions in force at a peer; fetch what is newer, hand over what is older."""
-        for seen in versions:
-            follower = self._followers_by_name.get(seen.name)
+    def record_versions(self, sender: str, versions: Sequence[ObjectVersion]) -> None:
+        """Record the versions in force at a peer, and fetch objects that are newer there."""
+        for reported in versions:
+            follower = self._followers_by_name.get(reported.name)
             if follower is None:
                 continue
-            self._readiness_by_name[seen.name].versions_by_peer[sender] = seen.version
-            if follower.wants(seen.version):
-                self._wanted_by_name[seen.name][sender] = seen.version
+            self._readiness_by_name[reported.name].versions_by_peer[sender] = reported.version
+            if follower.wants(reported.version):
+                self._wanted_by_name[reported.name][sender] = reported.version
                 self._start_fetch(follower, sender)
 
     async def _follow(self, follower: Follower[Any]) -> None:
-        last: CallKind | None = None
+        last_kind: CallKind | None = None
         failures = 0
         while True:
-            turn = self._propagation.next_call(
-                follower.name, follower.stored is not None, last, failures
+            call = self._propagation.next_call(
+                follower.name, follower.stored is not None, last_kind, failures
             )
-            if not await self._wait_for(turn, follower.name):
+            if not await self._wait_for(call, follower.name):
                 continue
             try:
-                found = await self._call(follower, turn.kind)
+                found = await self._call_store(follower, call.kind)
             except StoreError as error:
                 failures += 1
-                await self._failed(follower, error)
+                await self._record_store_failure(follower, error)
                 continue
             failures = 0
             self._readiness_by_name[follower.name].store_failed = False
-            brought = found is not None and self._take(follower, found) is OfferResult.IN_FORCE
-            last = None if brought else turn.kind
-            if not brought:
-                await self._sleep(IDLE_PAUSE)
-
-    async def _wait_for(self, turn: StoreCall, name: str) -> bool:
-        """Wait for the turn; return False if this process became a watcher meanwhile."""
-        if not turn.delay:
+            is_new = found is not None and self._apply(follower, found) is OfferResult.IN_FORCE
+            last_kind = None if is_new else call.kind
+            if not is_new:
+                await self._sleep(IDLE_DELAY_S)
+
+    async def _wait_for(self, call: StoreCall, name: str) -> bool:
+        """Wait for the delay of a call; return False if this entry became a watcher meanwhile."""
+        if not call.delay:
             return True
-        watched = self._propagation.is_watcher(name)
-        pause = asyncio.ensure_future(self._sleep(turn.delay))
+        was_watcher = self._propagation.is_watcher(name)
+        delay = asyncio.ensure_future(self._sleep(call.delay))
         changed = asyncio.ensure_future(self._members_changed.wait())
         try:
             while True:
-                await asyncio.wait([changed, pause], return_when=asyncio.FIRST_COMPLETED)
-                if pause.done():
+                await asyncio.wait([changed, delay], return_when=asyncio.FIRST_COMPLETED)
+                if delay.done():
                     return True
-                if self._propagation.is_watcher(name) and not watched:
+                if self._propagation.is_watcher(name) and not was_watcher:
                     return False
                 changed = asyncio.ensure_future(self._members_changed.wait())
         finally:
             changed.cancel()
-            pause.cancel()
+            delay.cancel()
 
-    async def _call(self, follower: Follower[Any], kind: CallKind) -> StoredObject | None:
+    async def _call_store(self, follower: Follower[Any], kind: CallKind) -> StoredObject | None:
         if kind is CallKind.WATCH:
             newer_than = follower.seen_version
-            return await self._store.watch(follower.name, newer_than, self._times.watch_timeout)
-        # A read, not a watch: it is what finds out that the watches are silently lost. The whole
-        # policy each time would cost a watcher more bytes than all else together.
+            return await self._store.watch(follower.name, newer_than, self._settings.watch_timeout)
+        # A read, not a watch: it detects watches that were lost silently. Reading the whole policy
+        # each time would cost a watcher more bytes than all its other traffic together.
         found = await self._store.get_newer(follower.name, follower.seen_version)
         self._readiness_by_name[follower.name].store_answered = True
         return found
 
-    async def _failed(self, follower: Follower[Any], error: StoreError) -> None:
+    async def _record_store_failure(self, follower: Follower[Any], error: StoreError) -> None:
         self._readiness_by_name[follower.name].store_failed = True
         logs.event("store-unavailable", logging.WARNING, object=follower.name, error=str(error))
         if isinstance(error, StoreThrottledError):
             await self._sleep(error.retry_after)
 
-    def _take(self, follower: Follower[Any], stored: StoredObject) -> OfferResult:
+    def _apply(self, follower: Follower[Any], stored: StoredObject) -> OfferResult:
         try:
-            taken = follower.offer(stored)
+            result = follower.offer(stored)
         except InvariantError:
             raise
         except Exception as error:
-            # A version that this program fails on must not end the following of later ones.
+            # A version that triggers a bug here must not prevent later versions from being applied.
             fault = repr(error)
             logs.event("internal-error", logging.ERROR, object=stored.name, error=fault)
             return follower.reject(stored.version, fault)
-        if taken is OfferResult.OLD:
+        if result is OfferResult.OLD:
             self._metrics.count("old_versions_ignored", stored.name)
-        if taken is not OfferResult.IN_FORCE:
-            return taken
+        if result is not OfferResult.IN_FORCE:
+            return result
         wanted = self._wanted_by_name[follower.name]
         for peer in [peer for peer, version in wanted.items() if not follower.wants(version)]:
             del wanted[peer]
         copy = self.copy(follower.name, 0)
-        if copy is not None and len(copy.value) <= PUSH_BYTES:
+        if copy is not None and len(copy.value) <= MAX_PUSH_BYTES:
             for peer in self._propagation.choose_push_peers():
-                self._start(self._offer(peer, copy))
-        return taken
+                self._start(self._push(peer, copy))
+        return result
 
-    async def _offer(self, peer: str, copy: ObjectCopy) -> None:
+    async def _push(self, peer: str, copy: ObjectCopy) -> None:
         try:
             await self._peers.offer(peer, copy)
         except PeerError as error:
-            # The peer hears of the version with the next heartbeat and fetches it.
+            # The peer learns of the version from the next heartbeat and fetches it.
             logs.event("peer-unavailable", logging.DEBUG, object=copy.name, error=str(error))
 
     def _start_fetch(self, follower: Follower[Any], sender: str) -> None:
@@ -253,15 +254,15 @@
         try:
             copy = await self._peers.fetch(sender, follower.name, follower.version)
             if copy is not None:
-                self.offered(copy)
+                self.receive_copy(copy)
         except PeerError as error:
             logs.event("peer-unavailable", logging.DEBUG, object=follower.name, error=str(error))
         finally:
             self._fetching.discard(follower.name)
-            # A peer that cannot be fetched from must not keep a fresh process from being ready.
+            # An unreachable peer must not keep a new process from becoming ready.
             self._wanted_by_name[follower.name].pop(sender, None)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/briarspur/peering.py
+++ b/briarspur/peering.py
@@ -148,7 +148,7 @@
 
     async def offered(self, copy: ObjectCopy) -> int:
         """Take an object, if it is newer; return the version in force here afterwards."""
-        return self._follow.offered(copy)
+        return self._follow.receive_copy(copy)
 
     def asked_to_lend(self, asked: BorrowAsked) -> int:
         """Grant a part of a limit; return how much."""
@@ -294,7 +294,7 @@
     def _heard(self, sender: str, gossip: Gossip) -> None:
         self._core.exchange.record_news(gossip.news, self._clock())
         self._show_view_in_time(sender)
-        self._follow.heard(sender, gossip.objects)
+        self._follow.record_versions(sender, gossip.objects)
         member = self._membership.member(sender)
         # Without the VM list, whoever is heard first is asked.
         if member is not None and not self._knows_all and not self._is_learning:
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -1,4 +1,4 @@
-"""Stories of a configuration that is in force everywhere within seconds, and never reverts."""
+"""Scenarios: a configuration is in force everywhere within seconds and never reverts."""
 
 import asyncio
 import hashlib
@@ -21,7 +21,7 @@
 from tests.virtualtime import run_virtual
 
 ZONES = ("north-a", "north-b", "south-a")
-IN_FORCE_WITHIN = 18.0
+MAX_PROPAGATION_S = 18.0
 
 
 def read(stored: StoredObject) -> Result[bytes, str]:
@@ -39,7 +39,7 @@
         self.follows: dict[str, Follow] = {}
         self.followers: dict[str, Follower[bytes]] = {}
         self.paused: set[str] = set()
-        self.deaf: set[str] = set()
+        self.silent_watches: set[str] = set()
 
     async def fetch(self, entry: str, name: str, newer_than: int) -> ObjectCopy | None:
         await asyncio.sleep(0.01)
@@ -51,44 +51,49 @@
         await asyncio.sleep(0.01)
         if self.pushes_fail or entry in self.paused or entry not in self.follows:
             raise PeerError(entry)
-        return self.follows[entry].offered(copy)
+        return self.follows[entry].receive_copy(copy)
 
-    async def add(self, me: str) -> Follow:
-        self.followers[me] = Follower("policy", read)
-        store = StoreOfOne(self, me)
+    async def add(self, entry_id: str) -> Follow:
+        self.followers[entry_id] = Follower("policy", read)
+        store = EntryStore(self, entry_id)
         follow = Follow(
-            me, self.zones[me], store, self, [self.followers[me]], random.Random(hash_of(me))
+            entry_id,
+            self.zones[entry_id],
+            store,
+            self,
+            [self.followers[entry_id]],
+            random.Random(seed_of(entry_id)),
         )
-        follow.members_changed(self.zones)
-        self.follows[me] = await follow.__aenter__()
+        follow.set_members(self.zones)
+        self.follows[entry_id] = await follow.__aenter__()
         return follow
 
-    async def remove(self, me: str) -> None:
-        del self.zones[me]
-        await self.follows.pop(me).__aexit__()
-        del self.followers[me]
+    async def remove(self, entry_id: str) -> None:
+        del self.zones[entry_id]
+        await self.follows.pop(entry_id).__aexit__()
+        del self.followers[entry_id]
         for follow in self.follows.values():
-            follow.members_changed(self.zones)
+            follow.set_members(self.zones)
 
     async def probe(self) -> None:
         while True:
-            for me, follow in list(self.follows.items()):
+            for entry_id, follow in list(self.follows.items()):
                 peer = self.rng.choice(list(self.follows))
-                if peer != me and not {me, peer} & self.paused:
-                    follow.heard(peer, self.follows[peer].versions())
-                    self.follows[peer].heard(me, follow.versions())
+                if peer != entry_id and not {entry_id, peer} & self.paused:
+                    follow.record_versions(peer, self.follows[peer].versions())
+                    self.follows[peer].record_versions(entry_id, follow.versions())
             await asyncio.sleep(1.0)
 
     def pause_watchers(self) -> None:
-        """Suspend every watcher; the others go on counting them as live."""
-        for me, follow in self.follows.items():
+        """Suspend every watcher; the others still count them as live."""
+        for entry_id, follow in self.follows.items():
             if follow._propagation.is_watcher("policy"):
-                self.paused.add(me)
+                self.paused.add(entry_id)
 
     def versions(self) -> set[int]:
-        return {f.version for me, f in self.followers.items() if me not in self.paused}
+        return {f.version for entry_id, f in self.followers.items() if entry_id not in self.paused}
 
-    async def reaches(self, version: int, within: float = IN_FORCE_WITHIN) -> float:
+    async def wait_until_in_force(self, version: int, within: float = MAX_PROPAGATION_S) -> float:
         start = asyncio.get_running_loop().time()
         while self.versions() != {version}:
             spent = asyncio.get_running_loop().time() - start
@@ -97,16 +102,16 @@
         return asyncio.get_running_loop().time() - start
 
 
-class StoreOfOne(MemoryStore):
-    """One entry's way to the store: deaf, its watches see nothing; paused, no call returns."""
+class EntryStore(MemoryStore):
+    """One entry's access to the store; watches may be silent, and calls hang while paused."""
 
-    def __init__(self, fleet: Fleet, me: str) -> None:
+    def __init__(self, fleet: Fleet, entry_id: str) -> None:
         super().__init__()
         self.fleet = fleet
-        self.me = me
+        self.entry_id = entry_id
 
     async def pause(self) -> None:
-        while self.me in self.fleet.paused:
+        while self.entry_id in self.fleet.paused:
             await asyncio.sleep(1.0)
 
     async def get(self, name: str) -> StoredObject | None:
@@ -119,68 +124,68 @@
 
     async def watch(self, name: str, newer_than: int, wait: float) -> StoredObject | None:
         await self.pause()
-        if self.me in self.fleet.deaf:
+        if self.entry_id in self.fleet.silent_watches:
             newer_than = 1_000_000
         found = await self.fleet.store.watch(name, newer_than, wait)
         await self.pause()
         return found
 
 
-def hash_of(me: str) -> int:
-    return int(me[1:])
+def seed_of(entry_id: str) -> int:
+    return int(entry_id[1:])
 
 
 class CopiesTest(unittest.TestCase):
-    """What is handed on to peers, and taken from them; no store is called."""
+    """Copies sent to peers and received from them, without store calls."""
 
     def setUp(self) -> None:
-        self.taken: list[int] = []
-        self.follower = Follower("policy", self.take)
+        self.accepted: list[int] = []
+        self.follower = Follower("policy", self.parse)
         fleet = Fleet(1)
         self.follow = Follow("e0", ZONES[0], fleet.store, fleet, [self.follower], random.Random(1))
 
-    def take(self, stored: StoredObject) -> Result[None, str]:
-        self.taken.append(stored.version)
+    def parse(self, stored: StoredObject) -> Result[None, str]:
+        self.accepted.append(stored.version)
         return Error("bad") if stored.value == b"bad" else Ok(None)
 
     def offer(self, version: int, value: bytes) -> int:
         digest = hashlib.sha256(value).digest()
-        return self.follow.offered(ObjectCopy("policy", version, digest, value))
+        return self.follow.receive_copy(ObjectCopy("policy", version, digest, value))
 
-    def test_late_read_does_not_revert(self) -> None:
-        """An operator drains a server, and seconds later it gets work again.
+    def test_a_stale_read_does_not_revert_to_an_older_version(self) -> None:
+        """A drained server must not get requests again after a stale read.
 
-        A read of the store that shows the past, or a copy from an entry that was cut off, comes
-        after the newer version. Taken, it would undo the drain.
+        A stale read of the store, or a copy from an entry that was partitioned, arrives after the
+        newer version. Applying it would undo the drain.
         """
         for version in (1, 3, 2, 3, 1):
             self.offer(version, b"v%d" % version)
-        self.assertEqual(self.taken, [1, 3])
+        self.assertEqual(self.accepted, [1, 3])
         self.assertEqual(self.follower.version, 3)
         self.assertEqual(self.follower.counts[OfferResult.OLD], 2)
 
-    def test_invalid_version_is_not_handed_on(self) -> None:
+    def test_invalid_version_is_not_given_to_peers(self) -> None:
         self.offer(1, b"good")
         self.assertEqual(self.offer(2, b"bad"), 1)
         copy = self.follow.copy("policy", 0)
         assert copy is not None
         self.assertEqual((copy.version, copy.value), (1, b"good"))
 
-    def test_damaged_copy_is_not_taken(self) -> None:
+    def test_damaged_copy_is_not_applied(self) -> None:
         self.offer(1, b"good")
         copy = self.follow.copy("policy", 0)
         assert copy is not None
-        self.assertEqual(self.follow.offered(replace(copy, version=2, value=b"cut")), 1)
-        self.assertEqual(self.follow.offered(replace(copy, version=2)), 2)
+        self.assertEqual(self.follow.receive_copy(replace(copy, version=2, value=b"cut")), 1)
+        self.assertEqual(self.follow.receive_copy(replace(copy, version=2)), 2)
 
 
 class RejectedVersionTest(unittest.IsolatedAsyncioTestCase):
-    """A version that is not valid here costs one transfer, not one with each heartbeat."""
+    """An invalid version is transferred once, not with each heartbeat."""
 
     async def test_rejected_version_is_fetched_once(self) -> None:
-        """An entry of an older program fetches a megabyte a second, for as long as it runs.
+        """An entry with older software must not fetch a megabyte per second for as long as it runs.
 
-        It cannot read the newest policy; each heartbeat of the others names that version.
+        It cannot parse the newest policy, and each heartbeat of the others names that version.
         """
         fetched: list[int] = []
         digest = hashlib.sha256(b"bad").digest()
@@ -194,18 +199,18 @@
         follower: Follower[None] = Follower("policy", lambda stored: Error("bad"))
         follow = Follow("e0", ZONES[0], fleet.store, fleet, [follower], random.Random(1))
         for _ in range(5):
-            follow.heard("e1", [ObjectVersion("policy", 2, digest)])
+            follow.record_versions("e1", [ObjectVersion("policy", 2, digest)])
             await asyncio.sleep(0.01)
         self.assertEqual(fetched, [0])
 
 
 class FailingReaderTest(unittest.TestCase):
-    """A fault of the program costs one version, not the following."""
+    """A bug that one version triggers does not prevent later versions from being applied."""
 
-    def test_later_version_is_taken(self) -> None:
-        """An entry stays on an old policy for ever, though each later one would be good.
+    def test_later_version_is_applied(self) -> None:
+        """An entry must not keep an old policy for ever when later ones are valid.
 
-        One version meets a fault in the program; the task that follows the policy ends with it.
+        One version triggers a bug, and the exception ends the task that follows the policy.
         """
 
         def read_or_fail(stored: StoredObject) -> Result[bytes, str]:
@@ -230,7 +235,7 @@
 class FollowTest(unittest.TestCase):
     """Thirty entries in three zones."""
 
-    def run_fleet(self, story: Callable[[Fleet], Coroutine[Any, Any, None]]) -> None:
+    def run_fleet(self, scenario: Callable[[Fleet], Coroutine[Any, Any, None]]) -> None:
         invariants.strict = True
         logging.getLogger("briarspur").setLevel(logging.ERROR)
 
@@ -238,108 +243,108 @@
             fleet = Fleet(30)
             probes = asyncio.create_task(fleet.probe())
             await fleet.store.put("policy", b"first", 0)
-            for me in list(fleet.zones):
-                await fleet.add(me)
-            await fleet.reaches(1)
-            await story(fleet)
+            for entry_id in list(fleet.zones):
+                await fleet.add(entry_id)
+            await fleet.wait_until_in_force(1)
+            await scenario(fleet)
             probes.cancel()
-            for me in list(fleet.follows):
-                await fleet.remove(me)
+            for entry_id in list(fleet.follows):
+                await fleet.remove(entry_id)
 
         run_virtual(run())
 
-    def test_change_is_in_force_everywhere(self) -> None:
-        async def story(fleet: Fleet) -> None:
+    def test_change_comes_into_force_everywhere(self) -> None:
+        async def scenario(fleet: Fleet) -> None:
             await asyncio.sleep(30.0)
             fleet.store.calls_by_kind.clear()
             await asyncio.sleep(60.0)
             calls = sum(fleet.store.calls_by_kind.values())
             self.assertLess(calls / 60.0 / len(ZONES), 0.8)
             await fleet.store.put("policy", b"second", 1)
-            await fleet.reaches(2, within=5.0)
+            await fleet.wait_until_in_force(2, within=5.0)
 
-        self.run_fleet(story)
+        self.run_fleet(scenario)
 
     def test_watches_are_lost_silently(self) -> None:
-        """Operators drain a target and half the fleet never hears: the watches hang, no error."""
+        """A change must reach all entries although the watches hang without an error."""
 
-        async def story(fleet: Fleet) -> None:
-            fleet.deaf.update(fleet.follows)
+        async def scenario(fleet: Fleet) -> None:
+            fleet.silent_watches.update(fleet.follows)
             await asyncio.sleep(15.0)
             await fleet.store.put("policy", b"second", 1)
-            await fleet.reaches(2)
+            await fleet.wait_until_in_force(2)
 
-        self.run_fleet(story)
+        self.run_fleet(scenario)
 
     def test_watchers_are_paused(self) -> None:
-        """All watchers of a zone are suspended; membership still counts them as live."""
+        """All watchers of a zone are suspended while membership still counts them as live."""
 
-        async def story(fleet: Fleet) -> None:
+        async def scenario(fleet: Fleet) -> None:
             fleet.pause_watchers()
             await fleet.store.put("policy", b"second", 1)
-            await fleet.reaches(2)
+            await fleet.wait_until_in_force(2)
 
-        self.run_fleet(story)
+        self.run_fleet(scenario)
 
     def test_pushes_are_lost(self) -> None:
-        async def story(fleet: Fleet) -> None:
+        async def scenario(fleet: Fleet) -> None:
             fleet.pushes_fail = True
             await fleet.store.put("policy", b"second", 1)
-            await fleet.reaches(2)
+            await fleet.wait_until_in_force(2)
 
-        self.run_fleet(story)
+        self.run_fleet(scenario)
 
     def test_stale_reads_revert_nothing(self) -> None:
-        """A drain is undone without an operator: reads of the store show the past."""
+        """Stale reads of the store must not undo a drain."""
 
-        async def story(fleet: Fleet) -> None:
+        async def scenario(fleet: Fleet) -> None:
             await fleet.store.put("policy", b"second", 1)
-            await fleet.reaches(2)
+            await fleet.wait_until_in_force(2)
             fleet.store.stale_by = 1
             await asyncio.sleep(120.0)
             self.assertEqual(fleet.versions(), {2})
 
-        self.run_fleet(story)
+        self.run_fleet(scenario)
 
     def test_half_the_members_are_replaced_during_a_change(self) -> None:
-        async def story(fleet: Fleet) -> None:
+        async def scenario(fleet: Fleet) -> None:
             await fleet.store.put("policy", b"second", 1)
             for n in range(15):
                 await fleet.remove(f"e{n}")
                 fleet.zones[f"e{n + 30}"] = ZONES[n % 3]
                 await fleet.add(f"e{n + 30}")
                 for follow in fleet.follows.values():
-                    follow.members_changed(fleet.zones)
+                    follow.set_members(fleet.zones)
                 await asyncio.sleep(0.1)
-            await fleet.reaches(2)
+            await fleet.wait_until_in_force(2)
 
-        self.run_fleet(story)
+        self.run_fleet(scenario)
 
-    def test_fresh_process_in_an_outage(self) -> None:
-        """A replaced VM would serve by nothing, or by what one lagging peer has."""
+    def test_new_process_during_an_outage(self) -> None:
+        """A replaced VM must not serve without a policy, or with that of one lagging peer."""
 
-        async def story(fleet: Fleet) -> None:
+        async def scenario(fleet: Fleet) -> None:
             await fleet.store.put("policy", b"second", 1)
-            await fleet.reaches(2)
+            await fleet.wait_until_in_force(2)
             fleet.store.stop()
             fleet.zones["e30"] = ZONES[0]
-            fresh = await fleet.add("e30")
-            self.assertFalse(fresh.is_ready("policy"))
-            await fleet.reaches(2)
+            new = await fleet.add("e30")
+            self.assertFalse(new.is_ready("policy"))
+            await fleet.wait_until_in_force(2)
             await asyncio.sleep(5.0)
-            self.assertTrue(fresh.is_ready("policy"))
-            fresh.heard("e1", [ObjectVersion("policy", 9, b"")])
-            self.assertTrue(fresh.is_ready("policy"))
+            self.assertTrue(new.is_ready("policy"))
+            new.record_versions("e1", [ObjectVersion("policy", 9, b"")])
+            self.assertTrue(new.is_ready("policy"))
             self.assertEqual(fleet.followers["e30"].value, b"second")
 
-        self.run_fleet(story)
+        self.run_fleet(scenario)
 
     def test_outage_of_ten_minutes(self) -> None:
-        async def story(fleet: Fleet) -> None:
+        async def scenario(fleet: Fleet) -> None:
             fleet.store.stop()
             await asyncio.sleep(600.0)
             fleet.store.start()
             await fleet.store.put("policy", b"second", 1)
-            await fleet.reaches(2)
+            await fleet.wait_until_in_force(2)
 
-        self.run_fleet(story)
+        self.run_fleet(scenario)
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -44,7 +44,7 @@
     def versions(self) -> tuple[()]:
         return ()
 
-    def heard(self, sender: str, versions: object) -> None:
+    def record_versions(self, sender: str, versions: object) -> None:
         pass
 
 
--- a/tools/spreadtimes.py
+++ b/tools/spreadtimes.py
@@ -23,7 +23,7 @@
     version = await fleet.store.put("policy", b"first", 0)
     for me in list(fleet.zones):
         await fleet.add(me)
-    await fleet.reaches(version, within=60.0)
+    await fleet.wait_until_in_force(version, within=60.0)
     inject(fleet, fault)
     fleet.store.calls_by_kind.clear()
     await asyncio.sleep(QUIET)
@@ -31,7 +31,7 @@
     longest = 0.0
     for n in range(CHANGES):
         version = await fleet.store.put("policy", b"change %d" % n, version)
-        longest = max(longest, await fleet.reaches(version, within=60.0))
+        longest = max(longest, await fleet.wait_until_in_force(version, within=60.0))
         await asyncio.sleep(7.0)
     probes.cancel()
     for me in list(fleet.follows):
@@ -44,7 +44,7 @@
     if fault == "pushes lost":
         fleet.pushes_fail = True
     elif fault == "watches deaf":
-        fleet.deaf.update(fleet.follows)
+        fleet.silent_watches.update(fleet.follows)
     elif fault == "watchers paused":
         fleet.pause_watchers()
 
