--- a/briarspur/backend.py
+++ b/briarspur/backend.py
@@ -23,7 +23,7 @@
 from zope.interface import implementer
 
 from briarspur.answerhead import AnswerHead
-from briarspur.endpoints import NumberEndpoints
+from briarspur.endpoints import IPEndpointFactory
 from briarspur.messages import Failure
 
 __all__ = ["AnswerHead", "Attempt", "AttemptError", "AttemptEvents", "BackendClient", "Outgoing"]
@@ -147,7 +147,7 @@
         self._pool.retryAutomatically = False
         self._pool.maxPersistentPerHost = MOST_KEPT
         self._pool.cachedConnectionTimeout = KEPT_CONNECTION_LIFETIME
-        self._endpoints = NumberEndpoints(reactor, connect_timeout, source)
+        self._endpoints = IPEndpointFactory(reactor, connect_timeout, source)
         self._open_by_address: Counter[tuple[str, int]] = Counter()
 
     def send(self, outgoing: Outgoing, events: AttemptEvents) -> "Attempt":
--- a/briarspur/endpoints.py
+++ b/briarspur/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of hosts given by IP number."""
+"""Endpoints of hosts given by IP address."""
 
 from typing import cast
 
@@ -8,24 +8,24 @@
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer
 
-__all__ = ["NumberEndpoints"]
+__all__ = ["IPEndpointFactory"]
 
 ANY_PORT = 0
 
 
 @implementer(IAgentEndpointFactory)
-class NumberEndpoints:
-    """Connects an ``Agent`` to IP numbers.
+class IPEndpointFactory:
+    """Connects an ``Agent`` to IP addresses without a resolver.
 
-    Twisted's own endpoints ask a resolver first, which starts threads even for an IP number; they
-    cost memory in every daemon and keep a process from ending.
+    Twisted's own endpoint factory calls a resolver first, which starts threads even for an IP
+    address; they cost memory in every daemon and prevent the process from exiting.
 
     Parameters
     ----------
     timeout : float
-        Seconds to wait for a connection.
+        Connection timeout in seconds.
     source : str or None
-        IP number to connect from; None leaves the choice to the system.
+        IP address to connect from; if None, the system chooses it.
     """
 
     def __init__(self, reactor: IReactorTCP, timeout: float, source: str | None = None) -> None:
@@ -34,10 +34,10 @@
         self._bind_address = None if source is None else (source, ANY_PORT)
 
     def endpointForURI(self, uri: URI) -> IStreamClientEndpoint:  # noqa: N802
-        """Return the endpoint of an address."""
+        """Return the endpoint for a URI whose host is an IP address."""
         host = uri.host.decode("ascii").strip("[]")
-        kind = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
-        endpoint = kind(
+        endpoint_class = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
+        endpoint = endpoint_class(
             self._reactor, host, uri.port, timeout=self._timeout, bindAddress=self._bind_address
         )
         return cast(IStreamClientEndpoint, endpoint)
--- a/briarspur/fetch.py
+++ b/briarspur/fetch.py
@@ -12,7 +12,7 @@
 from twisted.web.client import Agent, HTTPConnectionPool, ResponseDone
 from twisted.web.http_headers import Headers
 
-from briarspur.endpoints import NumberEndpoints
+from briarspur.endpoints import IPEndpointFactory
 from briarspur.errors import PeerError, PeerRefusalError
 
 __all__ = ["Endpoint", "Fetcher", "HttpFetcher"]
@@ -56,7 +56,7 @@
 
     def __init__(self, reactor: IReactorTCP, timeout: float) -> None:
         pool = HTTPConnectionPool(reactor, persistent=False)
-        endpoints = NumberEndpoints(reactor, timeout)
+        endpoints = IPEndpointFactory(reactor, timeout)
         self._agent = Agent.usingEndpointFactory(reactor, endpoints, pool=pool)
         self._timeout = timeout
 
--- a/briarspur/keystore.py
+++ b/briarspur/keystore.py
@@ -1,4 +1,4 @@
-"""Claims and left outcomes of keys, as the carrier of requests asks for them."""
+"""Claims of keys, and recorded outcomes, in the object store."""
 
 import math
 import time
@@ -20,25 +20,25 @@
 
 __all__ = ["ObjectKeyStore"]
 
-PAUSE_S = 1.0
-"""Seconds without claims after one that the store did not settle."""
+UNSETTLED_PAUSE_S = 1.0
+"""Seconds without new claims after a claim whose outcome is unknown."""
 
 SLOW_CLAIM_S = 0.5
-"""Seconds after which an open claim tells that the store hangs: a quarter of the default timeout of
-a store call, and some fifty times what a claim takes at an idle store."""
+"""Seconds after which a pending claim shows that the store hangs: a quarter of the default timeout
+of a store call, and about fifty times the duration of a claim at an idle store."""
 
 
 class ObjectKeyStore:
-    """Keys in the object store.
+    """Implements the key store over the object store.
 
     Parameters
     ----------
     store : ObjectStore
-        Holds the outcomes that other incarnations left.
+        Contains the outcomes recorded by other incarnations.
     claims : Claims
         Claims of this incarnation.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     """
 
     def __init__(
@@ -48,43 +48,44 @@
         self._claims = claims
         self._clock = clock
         self._unsettled_until = -math.inf
-        self._claiming_since_by_key: dict[str, float] = {}
+        self._claim_started_by_key: dict[str, float] = {}
 
     async def claim(self, key: str, body_digest: bytes) -> SettledClaim:
-        """Claim a foreign key."""
+        """Claim a foreign key, which its caller generated."""
         parsed = parse_key(key)
         if parsed.is_error():
             return SettledClaim(ClaimResult.UNSETTLED)
-        if self._store_is_out():
+        if self._is_store_unavailable():
             return SettledClaim(ClaimResult.UNSETTLED)
-        self._claiming_since_by_key[key] = self._clock()
+        self._claim_started_by_key[key] = self._clock()
         try:
             outcome = await self._claims.claim(parsed.ok, body_digest)
         finally:
-            self._claiming_since_by_key.pop(key, None)
+            self._claim_started_by_key.pop(key, None)
         if isinstance(outcome, ClaimUnsettled):
-            self._unsettled_until = self._clock() + PAUSE_S
+            self._unsettled_until = self._clock() + UNSETTLED_PAUSE_S
         if isinstance(outcome, ClaimAcquired):
             return SettledClaim(ClaimResult.OURS)
         if isinstance(outcome, ClaimTaken):
             return SettledClaim(ClaimResult.TAKEN, outcome.incarnation)
         return SettledClaim(ClaimResult.UNSETTLED)
 
-    def _store_is_out(self) -> bool:
-        """Tell whether a claim begun now would only wait.
+    def _is_store_unavailable(self) -> bool:
+        """Return whether a claim started now would time out.
 
-        In an outage of the store each claim waits for a timeout, often its caller's whole deadline.
-        Once the oldest open claim is slow, or one could not be settled, the others get their
-        refusal at once: the open one, or one try in each pause, tells when the store is back.
+        During an outage of the store each claim waits for a timeout, often until its caller's
+        deadline. Once the oldest pending claim is slow, or the outcome of one is unknown, other
+        claims are refused at once. The pending claim, or one claim after each pause, shows when the
+        store is available again.
         """
         now = self._clock()
         if now < self._unsettled_until:
             return True
-        oldest = next(iter(self._claiming_since_by_key.values()), now)
+        oldest = next(iter(self._claim_started_by_key.values()), now)
         return now - oldest > SLOW_CLAIM_S
 
     async def fetch(self, incarnation: str, key: str) -> FetchedOutcome:
-        """Read what a gone incarnation recorded about a key."""
+        """Read the outcome that a former incarnation recorded for a key."""
         parsed = parse_key(key)
         if parsed.is_error():
             return FetchedOutcome(found=False)
@@ -93,8 +94,12 @@
             outcome = await self._read(outcome.name, parsed.ok)
         if not isinstance(outcome, FinishedOutcome):
             return FetchedOutcome(found=False)
-        kept = outcome.answer
-        answer = Answer(kept.status, kept.headers, kept.body) if kept is not None else None
+        recorded = outcome.answer
+        answer = (
+            Answer(recorded.status, recorded.headers, recorded.body)
+            if recorded is not None
+            else None
+        )
         return FetchedOutcome(found=True, answer=answer)
 
     async def _read(self, name: str, key: Key) -> Outcome | None:
--- a/briarspur/notready.py
+++ b/briarspur/notready.py
@@ -1,4 +1,4 @@
-"""Refuses requests for as long as an entry cannot decide on them."""
+"""Refuses requests while an entry has no policy."""
 
 from briarspur.attempts import Inbound
 from briarspur.codes import Code
@@ -6,18 +6,18 @@
 
 __all__ = ["NotReady"]
 
-RETRY_AFTER = 1.0
+RETRY_AFTER_S = 1.0
 
 
 class NotReady:
-    """Takes requests before there is a policy."""
+    """Request handler that refuses all requests until there is a policy."""
 
     def arrive(self, inbound: Inbound) -> None:
-        """Refuse a request at once."""
-        # Another entry may have run an earlier copy of a keyed request, so only one without a key
-        # may be called not run here.
+        """Refuse a request immediately."""
+        # Another entry may have run an earlier copy of a request with a key, so only a request
+        # without a key may be reported as not run.
         code = Code.NOT_READY if inbound.request.key is None else Code.HOME_UNREACHABLE
-        inbound.caller.refuse(Refusal(code, "no policy yet", RETRY_AFTER))
+        inbound.caller.refuse(Refusal(code, "no policy yet", RETRY_AFTER_S))
 
     def caller_gone(self, request_id: str) -> None:
-        """Nothing is open."""
+        """Do nothing, as no request is pending."""
--- a/briarspur/pipeline.py
+++ b/briarspur/pipeline.py
@@ -136,7 +136,7 @@
         caller of a foreign key had no answer when its own timeout came. The claim itself goes on:
         it may take effect and can't be made twice.
         """
-        for work, key in self._store_waits.take_overdue(now):
+        for work, key in self._store_waits.pop_overdue(now):
             if self._finals.waits_for_store(work, key):
                 refusal = Refusal(Code.STORE_UNAVAILABLE, retry_after=CLAIM_RETRY_AFTER)
                 self._finals.refuse_caller(work, refusal, out)
--- a/briarspur/platform/calls.py
+++ b/briarspur/platform/calls.py
@@ -12,13 +12,13 @@
     StoreUnclearError,
 )
 from briarspur.gateway.objectsource import HistoryGoneError
-from briarspur.storecalls import NoAnswerError, NotSentError, PlatformClient, Response
+from briarspur.storecalls import NoResponseError, NotSentError, PlatformClient, Response
 
 __all__ = [
     "CONFLICT",
     "CREATED",
-    "NO_CONTENT",
     "NOT_FOUND",
+    "NO_CONTENT",
     "OK",
     "Item",
     "Items",
@@ -151,7 +151,7 @@
     async def _read(self, path: str, wait: float = 0.0) -> Response:
         try:
             response = await self._client.call(b"GET", path, wait=wait)
-        except (NotSentError, NoAnswerError) as error:
+        except (NotSentError, NoResponseError) as error:
             raise StoreUnavailableError(f"{path}: {error}") from None
         if response.status in (OK, NOT_FOUND):
             return response
@@ -168,7 +168,7 @@
             response = await self._client.call(method, path, headers, value)
         except NotSentError as error:
             raise StoreUnavailableError(f"{path}: {error}") from None
-        except NoAnswerError as error:
+        except NoResponseError as error:
             raise StoreUnclearError(f"{path}: {error}") from None
         return Written(response.status, _answered_item(response), response)
 
--- a/briarspur/storecalls.py
+++ b/briarspur/storecalls.py
@@ -1,7 +1,7 @@
-"""Calls to the platform over kept HTTP connections, each with a timeout.
+"""Calls to the platform over persistent HTTP connections, each with a timeout.
 
-What is surely without effect and what may have taken effect are told apart by whether a byte of the
-call could have left this process.
+A failed call certainly had no effect if no byte of it can have left this process; otherwise it may
+have taken effect. Different exceptions are raised for the two cases.
 """
 
 import asyncio
@@ -17,19 +17,19 @@
 from zope.interface import implementer
 
 from briarspur.coord.store import ABSENT
-from briarspur.endpoints import NumberEndpoints
+from briarspur.endpoints import IPEndpointFactory
 from briarspur.processsettings import PlatformSettings
 
-__all__ = ["NoAnswerError", "NotSentError", "PlatformClient", "Response"]
+__all__ = ["NoResponseError", "NotSentError", "PlatformClient", "Response"]
 
-KEPT_CONNECTIONS = 8
+MAX_IDLE_CONNECTIONS = 8
 DEFAULT_RETRY_AFTER_S = 1.0
 NOT_SENT = (ConnectError, DNSLookupError, RequestNotSent)
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer of the platform."""
+    """A complete response of the platform."""
 
     status: int
     headers: Headers
@@ -37,13 +37,13 @@
 
     @property
     def version(self) -> int:
-        """Version in the ETag, ``ABSENT`` if there is none."""
+        """Version in the ETag; ``ABSENT`` if there is none."""
         tag = (self.headers.getRawHeaders(b"etag") or [b""])[0].strip(b'"')
         return int(tag) if tag.isdigit() else ABSENT
 
     @property
     def retry_after(self) -> float:
-        """Seconds of the Retry-After header."""
+        """Seconds in the Retry-After header, or a default if they are missing or malformed."""
         text = (self.headers.getRawHeaders(b"retry-after") or [b""])[0]
         try:
             return max(0.0, float(text))
@@ -55,13 +55,13 @@
     """No byte of the call left this process."""
 
 
-class NoAnswerError(Exception):
-    """The call may have left this process, and no whole answer came."""
+class NoResponseError(Exception):
+    """The call may have left this process, and no complete response arrived."""
 
 
 @implementer(IBodyProducer)
 class _Body:
-    """A request body that remembers whether it was handed to a transport."""
+    """A request body that records whether it was passed to a transport."""
 
     def __init__(self, value: bytes) -> None:
         self.value = value
@@ -84,25 +84,25 @@
 
 
 class PlatformClient:
-    """Calls over kept connections, each with a timeout; owns its connections."""
+    """Client of the platform; owns a pool of persistent connections."""
 
     def __init__(self, settings: PlatformSettings) -> None:
         from twisted.internet import reactor
 
         self.settings = settings
-        self._base = f"http://{_bracketed(settings.host)}:{settings.port}"
+        self._base = f"http://{_format_host(settings.host)}:{settings.port}"
         self._timeout = settings.timeout_s
         self._pool = HTTPConnectionPool(reactor, persistent=True)
-        self._pool.maxPersistentPerHost = KEPT_CONNECTIONS
+        self._pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
         self._pool.cachedConnectionTimeout = settings.idle_s  # type: ignore[assignment]
-        # The pool would repeat a DELETE on a broken connection. A first one that took effect unseen
-        # would turn the repeat into a conflict, and the caller would believe that it never wrote.
+        # The pool would retry a DELETE after a broken connection. If the first one took effect, the
+        # retry would fail with a conflict, and the caller would believe that nothing was written.
         self._pool.retryAutomatically = False
-        endpoints = NumberEndpoints(reactor, settings.timeout_s)
+        endpoints = IPEndpointFactory(reactor, settings.timeout_s)
         self._agent = Agent.usingEndpointFactory(reactor, endpoints, pool=self._pool)
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         loop = asyncio.get_running_loop()
         await self._pool.closeCachedConnections().asFuture(loop)
 
@@ -114,12 +114,12 @@
         value: bytes | None = None,
         wait: float = 0.0,
     ) -> Response:
-        """Make one call; ``wait`` seconds are added to its timeout.
+        """Send one request; ``wait`` seconds are added to its timeout.
 
         Raises
         ------
-        NotSentError, NoAnswerError
-            There was no whole answer.
+        NotSentError, NoResponseError
+            No complete response arrived.
         """
         body = None if value is None else _Body(value)
         try:
@@ -129,22 +129,22 @@
             raise NotSentError(str(error)) from None
         except TimeoutError:
             if body is not None and not body.started:
-                raise NotSentError("timed out before it was sent") from None
-            raise NoAnswerError("timed out") from None
+                raise NotSentError("timed out before the request was sent") from None
+            raise NoResponseError("timed out") from None
         except Exception as error:
-            raise NoAnswerError(repr(error)) from None
+            raise NoResponseError(repr(error)) from None
 
     async def _call(
         self, method: bytes, path: str, headers: dict[bytes, bytes], body: Any
     ) -> Response:
         loop = asyncio.get_running_loop()
-        sent = Headers({name: [text] for name, text in headers.items()})
-        answering = self._agent.request(method, (self._base + path).encode(), sent, body)
-        response: Any = await answering.asFuture(loop)
-        answer = await readBody(response).asFuture(loop)
-        return Response(response.code, response.headers, answer)
+        request_headers = Headers({name: [text] for name, text in headers.items()})
+        deferred = self._agent.request(method, (self._base + path).encode(), request_headers, body)
+        response: Any = await deferred.asFuture(loop)
+        response_body = await readBody(response).asFuture(loop)
+        return Response(response.code, response.headers, response_body)
 
 
-def _bracketed(host: str) -> str:
-    """Return an IP number as URLs need it: version 6 in brackets."""
+def _format_host(host: str) -> str:
+    """Return an IP address as written in URLs: IPv6 in brackets."""
     return f"[{host}]" if ":" in host else host
--- a/standins/callhttp.py
+++ b/standins/callhttp.py
@@ -11,7 +11,7 @@
 from twisted.web.client import Agent, HTTPConnectionPool, ResponseDone
 from twisted.web.http_headers import Headers
 
-from briarspur.endpoints import NumberEndpoints
+from briarspur.endpoints import IPEndpointFactory
 
 __all__ = ["CallHttp", "Got"]
 
@@ -83,7 +83,7 @@
         self._pool.cachedConnectionTimeout = 20
         self._pool.retryAutomatically = False
         # The address tells briarspur the caller's block.
-        endpoints = NumberEndpoints(cast(Any, reactor), CONNECT_TIMEOUT_S, host)
+        endpoints = IPEndpointFactory(cast(Any, reactor), CONNECT_TIMEOUT_S, host)
         self._agent = Agent.usingEndpointFactory(reactor, endpoints, pool=self._pool)
 
     async def close(self) -> None:
--- a/tests/standins/test_backend.py
+++ b/tests/standins/test_backend.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from briarspur.endpoints import NumberEndpoints
+from briarspur.endpoints import IPEndpointFactory
 from standins.content import download_etag, download_part
 from standins.targetmodel import BackendSettings, ServiceTime, TargetSettings, Warmth
 from tests.reactor import run
@@ -111,7 +111,7 @@
     hosted = backend.targets_by_id["t-1"]
     hosted.listen()
     pool = HTTPConnectionPool(reactor)
-    agent = Agent.usingEndpointFactory(reactor, NumberEndpoints(reactor, 5.0), pool=pool)
+    agent = Agent.usingEndpointFactory(reactor, IPEndpointFactory(reactor, 5.0), pool=pool)
     port = hosted._listening.getHost().port
 
     async def call(method: bytes, path: str, headers: dict[bytes, bytes] | None = None) -> Any:
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Tests of endpoints by IP number."""
+"""Tests of endpoints by IP address."""
 
 import asyncio
 import threading
@@ -8,14 +8,14 @@
 from tests.loop import LoopTestCase, the_reactor
 
 
-class NumberEndpointsTest(LoopTestCase):
-    """Connecting starts no thread."""
+class IPEndpointFactoryTest(LoopTestCase):
+    """Connecting starts no threads."""
 
-    def test_a_fetch_starts_no_thread(self) -> None:
-        """A daemon that was told to stop never ends, and its VM can't be replaced.
+    def test_a_fetch_starts_no_threads(self) -> None:
+        """A daemon must exit when it is stopped, so that its VM can be replaced.
 
-        Twisted's default endpoint asks a resolver in a thread pool even for an IP number; the
-        pool's threads wait for ever and keep the process from ending.
+        Twisted's default endpoint calls a resolver in a thread pool even for an IP address; the
+        pool's threads wait for ever and prevent the process from exiting.
         """
 
         async def work() -> None:
--- a/tests/test_keystore.py
+++ b/tests/test_keystore.py
@@ -1,4 +1,4 @@
-"""Tests of claims and outcomes as the carrier asks for them."""
+"""Tests of claims of keys during an outage of the store."""
 
 import asyncio
 import unittest
@@ -7,14 +7,14 @@
 from briarspur.coord.claims import ClaimAcquired, ClaimOutcome, Claims, ClaimUnsettled
 from briarspur.coord.keys import Key
 from briarspur.coord.memorystore import MemoryStore
-from briarspur.keystore import PAUSE_S, SLOW_CLAIM_S, ObjectKeyStore
+from briarspur.keystore import SLOW_CLAIM_S, UNSETTLED_PAUSE_S, ObjectKeyStore
 from briarspur.messages import ClaimResult
 
 KEY = "a-foreign-key"
 
 
 class ScriptedClaims:
-    """Claims whose outcomes are given."""
+    """Claims with predefined outcomes."""
 
     def __init__(self, *outcomes: ClaimOutcome) -> None:
         self.outcomes = list(outcomes)
@@ -24,25 +24,26 @@
 
 
 class HangingClaims:
-    """Claims that are settled when the test says so."""
+    """Claims that hang until the test sets an event."""
 
     def __init__(self) -> None:
-        self.begun = 0
+        self.started = 0
         self.settled = asyncio.Event()
 
     async def claim(self, key: Key, body_digest: bytes) -> ClaimOutcome:
-        self.begun += 1
+        self.started += 1
         await self.settled.wait()
         return ClaimAcquired()
 
 
 class ClaimPauseTest(unittest.IsolatedAsyncioTestCase):
-    """An outage of the store holds nobody to its deadline."""
+    """During an outage of the store, requests are refused without waiting for their deadline."""
 
-    async def test_claims_are_refused_at_once_while_the_store_is_out(self) -> None:
-        """A builder with an own key waits 2 s for each 'store unavailable', again and again.
+    async def test_claims_are_refused_at_once_after_an_unsettled_claim(self) -> None:
+        """Callers with their own keys must not wait 2 s for each 'store unavailable'.
 
-        The store hangs. Every claim waited for its timeout, which was the order's whole deadline.
+        When the store hung, every claim waited for its timeout, which was the request's whole
+        deadline.
         """
         now = [100.0]
         claims = ScriptedClaims(ClaimUnsettled("timeout"), ClaimAcquired())
@@ -50,14 +51,14 @@
         results = [(await keys.claim(KEY, b"")).result for _ in range(3)]
         self.assertEqual(results, [ClaimResult.UNSETTLED] * 3)
         self.assertEqual(len(claims.outcomes), 1)
-        now[0] += PAUSE_S
+        now[0] += UNSETTLED_PAUSE_S
         self.assertIs((await keys.claim(KEY, b"")).result, ClaimResult.OURS)
 
-    async def test_claims_are_refused_at_once_while_one_hangs(self) -> None:
-        """Builders with own keys wait for 2 s each in the first seconds of an outage.
+    async def test_claims_are_refused_at_once_while_another_claim_hangs(self) -> None:
+        """Callers with their own keys must not wait 2 s each at the start of an outage.
 
-        The store hangs. A claim is tried three times before it counts as unsettled, and until then
-        every order after it waited too.
+        When the store hangs, a claim is tried three times before it counts as unsettled. Until
+        then, every later request waited too.
         """
         now = [100.0]
         claims = HangingClaims()
@@ -67,7 +68,7 @@
         now[0] += SLOW_CLAIM_S + 0.01
         refused = await keys.claim("another-foreign-key", b"")
         self.assertIs(refused.result, ClaimResult.UNSETTLED)
-        self.assertEqual(claims.begun, 1)
+        self.assertEqual(claims.started, 1)
         claims.settled.set()
         self.assertIs((await first).result, ClaimResult.OURS)
         again = await keys.claim("another-foreign-key", b"")
