--- a/briarspur/__init__.py
+++ b/briarspur/__init__.py
@@ -1,4 +1,4 @@
-"""Global traffic steering for services whose callers wait for the answer."""
+"""Global traffic steering for services whose callers wait for a response."""
 
 __all__ = ["__version__"]
 
--- a/briarspur/lookup.py
+++ b/briarspur/lookup.py
@@ -1,4 +1,4 @@
-"""Look-ups: which entries a caller should use, for how long, and with which key prefix."""
+"""Look-ups: the entries a caller should use, for how long, and with which key prefix."""
 
 import json
 from dataclasses import dataclass
@@ -15,30 +15,31 @@
 
 __all__ = ["LookupTable"]
 
-PREFIX_REFRESH_S = 1.0
-"""Answers are made anew this often, so that the expiry in their key prefix stays far ahead."""
+MAX_ANSWER_AGE_S = 1.0
+"""Maximum age of a cached answer, so that the expiry in its key prefix stays far ahead."""
 
-NEAR_ENTRIES = 4
-FAR_ENTRIES = 2
-"""How many entries of the first one's region, and of others, an answer names beside it."""
+MAX_NEAR_ENTRIES = 4
+MAX_FAR_ENTRIES = 2
+"""Maximum number of further entries in an answer, from the first entry's region and others."""
 
 BLOCK_BITS_PER_CALLER_GROUP = 8
 """Callers of one /24 get the same first entry, so that their caches agree."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Variant:
-    """A ready-made answer and the wall time it was made at."""
+class _CachedAnswer:
+    """A cached answer and the Unix time of its creation."""
 
     body: bytes
     made_at: float
 
 
 class LookupTable:
-    """Answers look-ups from ready-made bodies.
+    """Answers look-ups from cached response bodies.
 
-    The first entry of an answer owns a target of the service in the caller's home region; each
-    owner comes first in proportion to the targets it owns, so callers spread as the slots do.
+    The first entry of an answer owns a target of the service in the caller's home region. Each
+    owner is first in proportion to the number of its targets, so that callers are distributed like
+    the slots.
 
     Parameters
     ----------
@@ -47,7 +48,7 @@
     view : MemberView
         The live entries.
     rule : SlotRule
-        How targets are given to entries.
+        Assigns targets to entries.
     """
 
     def __init__(self, policy: Policy, view: MemberView, rule: SlotRule) -> None:
@@ -55,40 +56,44 @@
         self._view = view
         self._rule = rule
         self._first_by_flow: dict[tuple[str, str], list[str]] = {}
-        self._rest_by_flow: dict[tuple[str, str], list[str]] = {}
-        self._made: dict[tuple[str, str, int], _Variant] = {}
+        self._other_by_flow: dict[tuple[str, str], list[str]] = {}
+        self._cache: dict[tuple[str, str, int], _CachedAnswer] = {}
 
-    def answer(self, service: str, block: int, home: str, wall: float) -> Result[bytes, Refusal]:
+    def answer(
+        self, service: str, block: int, home: str, unix_time: float
+    ) -> Result[bytes, Refusal]:
         """Return the JSON body of a look-up.
 
         Parameters
         ----------
         block : int
-            The caller's block of clients; chooses among equal entries.
-        wall : float
-            Unix time in seconds, for the expiry of the key prefix.
+            Number of the caller's address block; selects one of the owners.
+        unix_time : float
+            Unix time in seconds; determines the expiry of the key prefix.
         """
         if service not in self._policy.services_by_name:
             return Error(Refusal(Code.UNKNOWN_SERVICE, service[:100]))
-        first = self._first(service, home)
+        first = self._first_entries(service, home)
         if not first:
             return Error(Refusal(Code.NO_TARGET, service, retry_after=1.0))
-        number = (block >> BLOCK_BITS_PER_CALLER_GROUP) * 2654435761 % 2**32 % len(first)
-        made = self._made.get((service, home, number))
-        if made is None or wall - made.made_at > PREFIX_REFRESH_S:
-            made = _Variant(self._make(service, home, first[number], wall), wall)
-            self._made[service, home, number] = made
-        return Ok(made.body)
-
-    def _first(self, service: str, home: str) -> list[str]:
-        """Return the owners to put first, each as often as it owns a target."""
+        index = (block >> BLOCK_BITS_PER_CALLER_GROUP) * 2654435761 % 2**32 % len(first)
+        cached = self._cache.get((service, home, index))
+        if cached is None or unix_time - cached.made_at > MAX_ANSWER_AGE_S:
+            cached = _CachedAnswer(
+                self._encode_answer(service, home, first[index], unix_time), unix_time
+            )
+            self._cache[service, home, index] = cached
+        return Ok(cached.body)
+
+    def _first_entries(self, service: str, home: str) -> list[str]:
+        """Return the owners that may be first, each once for every target it owns."""
         flow = (service, home)
         if flow not in self._first_by_flow:
-            self._fill(service, home)
+            self._compute_order(service, home)
         return self._first_by_flow[flow]
 
-    def _fill(self, service: str, home: str) -> None:
-        """Work out the order of entries for callers of a home region."""
+    def _compute_order(self, service: str, home: str) -> None:
+        """Compute the first entries and the other entries for callers of a home region."""
         regions = (home, *self._policy.regions_by_name[home].spill_to)
         owners_by_region = {region: self._owners(service, region) for region in regions}
         first: list[str] = []
@@ -99,10 +104,10 @@
         owners = [e for region in regions for e in dict.fromkeys(owners_by_region[region])]
         others = [e for region in regions for e in self._view.serving(region)]
         self._first_by_flow[service, home] = first
-        self._rest_by_flow[service, home] = list(dict.fromkeys(owners + others))
+        self._other_by_flow[service, home] = list(dict.fromkeys(owners + others))
 
     def _owners(self, service: str, region: str) -> list[str]:
-        """Return the owner of each target of a service in a region; an entry may stand twice."""
+        """Return the owner of each target of a service in a region, possibly with duplicates."""
         targets = self._policy.targets_of(service, region)
         members = self._view.serving(region)
         if not targets or not members:
@@ -110,17 +115,17 @@
         owned = self._rule.targets_by_entry(targets, members)
         return [entry_id for entry_id in sorted(owned) for _ in owned[entry_id]]
 
-    def _make(self, service: str, home: str, first: str, wall: float) -> bytes:
-        rest = self._rest_by_flow[service, home]
+    def _encode_answer(self, service: str, home: str, first: str, unix_time: float) -> bytes:
+        rest = self._other_by_flow[service, home]
         ranked = rendezvous.rank(first, [entry_id for entry_id in rest if entry_id != first])
         near = [e for e in ranked if self._is_near(e, first)]
         far = [e for e in ranked if not self._is_near(e, first)]
-        chosen = (first, *near[:NEAR_ENTRIES], *far[:FAR_ENTRIES])
+        chosen = (first, *near[:MAX_NEAR_ENTRIES], *far[:MAX_FAR_ENTRIES])
         members = [self._view.by_id[entry_id] for entry_id in chosen]
-        expiry = wall + self._policy.lookup_lifetime + self._policy.key_lifetime
+        expiry = unix_time + self._policy.lookup_lifetime + self._policy.key_lifetime
         answer = {
             "service": service,
-            "entries": [_entry(member) for member in members],
+            "entries": [_describe(member) for member in members],
             "lifetime_s": self._policy.lookup_lifetime,
             "key_prefix": make_prefix(members[0].incarnation, int(expiry)),
             "home": home,
@@ -132,6 +137,6 @@
         return self._view.by_id[entry_id].region == self._view.by_id[first].region
 
 
-def _entry(member: ViewedMember) -> dict[str, object]:
+def _describe(member: ViewedMember) -> dict[str, object]:
     address = member.address
     return {"id": address.entry_id, "host": address.host, "port": address.caller_port}
--- a/briarspur/settings.py
+++ b/briarspur/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the product's own programs, as JSON files."""
+"""Settings files of the product's programs, in JSON."""
 
 from typing import Annotated
 
@@ -21,7 +21,7 @@
 
 
 class StatsdSettings(Document):
-    """Where metrics go, over UDP."""
+    """Address of the StatsD server that receives metrics over UDP."""
 
     host: Host = "127.0.0.1"
     port: Port = 8125
@@ -29,7 +29,7 @@
 
 
 class DaemonSettings(LoggedSettings):
-    """What every daemon of the product's own deployments needs."""
+    """Settings common to all daemons."""
 
     platform: PlatformSettings
     statsd: StatsdSettings | None = None
@@ -47,9 +47,12 @@
     limits: LimitSettings = LimitSettings()
     probe_interval_s: float = Field(default=1.0, ge=0.05, le=60.0)
     drain_grace_s: float = Field(
-        default=0.0, ge=0.0, le=3_600.0, description="serve on after the cached look-ups lapsed"
+        default=0.0,
+        ge=0.0,
+        le=3_600.0,
+        description="time to keep serving after cached look-ups expired",
     )
-    seed: int | None = Field(default=None, description="for repeatable trials only")
+    seed: int | None = Field(default=None, description="for reproducible tests only")
 
 
 class SteerSettings(DaemonSettings):
@@ -76,8 +79,8 @@
     """Settings of ``briarspur-burn``."""
 
     host: Host = "127.0.0.1"
-    status_port: Port = Field(default=0, description="0: any free port, named in the log")
+    status_port: Port = Field(default=0, description="0: any free port, which is logged")
 
 
 class CliSettings(DaemonSettings):
-    """Settings of the command line ``briarspur``."""
+    """Settings of the command ``briarspur``."""
