--- a/briarspur/pipeline.py
+++ b/briarspur/pipeline.py
@@ -136,7 +136,7 @@
         long, so without this a caller with a foreign key got no answer before its own timeout. The
         claim itself isn't cancelled: it may take effect and can't be repeated.
         """
-        for work, key in self._store_waits.take_overdue(now):
+        for work, key in self._store_waits.pop_overdue(now):
             if self._requests.is_waiting_for_store(work, key):
                 refusal = Refusal(Code.STORE_UNAVAILABLE, retry_after=CLAIM_RETRY_AFTER_S)
                 self._requests.refuse_caller(work, refusal, out)
--- a/briarspur/platform/calls.py
+++ b/briarspur/platform/calls.py
@@ -12,7 +12,7 @@
     StoreUnclearError,
 )
 from briarspur.gateway.objectsource import HistoryGoneError
-from briarspur.storecalls import NoAnswerError, NotSentError, PlatformClient, Response
+from briarspur.storecalls import NoResponseError, NotSentError, PlatformClient, Response
 
 __all__ = [
     "CONFLICT",
@@ -155,7 +155,7 @@
     async def _read(self, path: str, wait: float = 0.0) -> Response:
         try:
             response = await self._client.call(b"GET", path, wait=wait)
-        except (NotSentError, NoAnswerError) as error:
+        except (NotSentError, NoResponseError) as error:
             raise StoreUnavailableError(f"{path}: {error}") from None
         if response.status in (OK, NOT_FOUND):
             return response
@@ -172,7 +172,7 @@
             response = await self._client.call(method, path, headers, value)
         except NotSentError as error:
             raise StoreUnavailableError(f"{path}: {error}") from None
-        except NoAnswerError as error:
+        except NoResponseError as error:
             raise StoreUnclearError(f"{path}: {error}") from None
         return WriteResult(response.status, _response_item(response), response)
 
