--- a/briarspur/cli.py
+++ b/briarspur/cli.py
@@ -18,7 +18,7 @@
 from briarspur.planview import read_plan
 from briarspur.policy import TargetState, compile_policy, parse_policy
 from briarspur.porcelain import Accepted, Race, Refused
-from briarspur.trace import read_story, story_text
+from briarspur.trace import read_timeline, timeline_text
 
 __all__ = ["Briarspur", "main"]
 
@@ -279,9 +279,9 @@
         """Print what the processes did with the request, in order, with the gaps."""
         texts = [read_file(name).decode("utf-8", "replace") for name in self.files or ["-"]]
         lines = [line for text in texts for line in text.splitlines()]
-        story = read_story(self.request, lines)
-        show(context, story, story_text)
-        return ExitCode.OK if story.lines else ExitCode.REFUSED
+        timeline = read_timeline(self.request, lines)
+        show(context, timeline, timeline_text)
+        return ExitCode.OK if timeline.lines else ExitCode.REFUSED
 
 
 Verb = (
--- a/briarspur/trace.py
+++ b/briarspur/trace.py
@@ -1,14 +1,14 @@
-"""The story of one request, put together from the logs of processes."""
+"""The timeline of one request, assembled from the logs of several processes."""
 
 import re
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-__all__ = ["Story", "TracedLine", "read_story", "story_text"]
+__all__ = ["RequestTimeline", "TracedLine", "read_timeline", "timeline_text"]
 
 PAIR = re.compile(r'([A-Za-z_]+)=("(?:[^"\\]|\\.)*"|\S+)')
-LEAST_GAP = 0.05
-"""Seconds between two lines from which the gap is named."""
+MIN_GAP_S = 0.05
+"""A gap of at least this length between two lines is reported."""
 CONTEXT_EVENTS = frozenset(
     {
         "target-registered",
@@ -20,9 +20,9 @@
         "target-vanished",
     }
 )
-"""Lines about a server that tell what became of it; shown for the servers of the story."""
-CONTEXT_SECONDS = 10.0
-"""How long before and after the request such lines are of use."""
+"""Events about a backend server's lifecycle; shown for the servers that the request used."""
+CONTEXT_S = 10.0
+"""Lifecycle events up to this long before and after the request are shown."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,9 +32,9 @@
     Attributes
     ----------
     time : float
-        Seconds of the day, as the line says.
+        Seconds since midnight, from the line's time stamp.
     process : str
-        What stands before the line's first pair, such as the process's name; may be empty.
+        The last word before the line's first pair, such as the process's name; may be empty.
     """
 
     time: float
@@ -44,8 +44,8 @@
 
 
 @dataclass(slots=True)
-class Story:
-    """What the logs say of one request, in order of time."""
+class RequestTimeline:
+    """The log lines of one request, ordered by time."""
 
     request: str
     lines: list[TracedLine] = field(default_factory=list)
@@ -53,44 +53,44 @@
     sampled_out: bool = False
 
 
-def read_story(request: str, lines: Iterable[str]) -> Story:
-    """Return the story of a request.
+def read_timeline(request: str, lines: Iterable[str]) -> RequestTimeline:
+    """Return the timeline of a request.
 
     Parameters
     ----------
     lines : iterable of str
-        Lines of any number of processes, in any order; others than log lines are skipped.
+        Lines of any number of processes, in any order; lines that are not log lines are skipped.
     """
-    story = Story(request)
-    others: list[TracedLine] = []
-    for line in _parsed(lines):
+    timeline = RequestTimeline(request)
+    events: list[TracedLine] = []
+    for line in _parse_lines(lines):
         if line.fields.get("request") == request:
-            story.lines.append(line)
+            timeline.lines.append(line)
         elif line.event in CONTEXT_EVENTS:
-            others.append(line)
+            events.append(line)
         elif line.event in ("log-sampling", "log-lines-dropped"):
-            story.sampled_out = True
-    story.lines.sort(key=lambda line: line.time)
-    story.context = _about(story, others)
-    return story
-
-
-def story_text(story: Story) -> str:
-    """Return the story as text."""
-    if not story.lines:
-        reason = "; its lines may have been left out (log-sampling)" if story.sampled_out else ""
-        return f"{story.request}: nothing in these logs{reason}"
-    merged = sorted([*story.lines, *story.context], key=lambda line: line.time)
-    start = story.lines[0].time
-    texts = [f"request {story.request}"]
-    last: float | None = None
+            timeline.sampled_out = True
+    timeline.lines.sort(key=lambda line: line.time)
+    timeline.context = _context_lines(timeline, events)
+    return timeline
+
+
+def timeline_text(timeline: RequestTimeline) -> str:
+    """Return the timeline as text; ``~`` marks context lines."""
+    if not timeline.lines:
+        reason = "; its lines may have been left out (log-sampling)" if timeline.sampled_out else ""
+        return f"{timeline.request}: nothing in these logs{reason}"
+    merged = sorted([*timeline.lines, *timeline.context], key=lambda line: line.time)
+    start = timeline.lines[0].time
+    texts = [f"request {timeline.request}"]
+    previous: float | None = None
     for line in merged:
-        in_story = line.fields.get("request") == story.request
-        if in_story:
-            if last is not None and line.time - last >= LEAST_GAP:
-                texts.append(f"           ... {line.time - last:.3f} s without a line")
-            last = line.time
-        mark = " " if in_story else "~"
+        is_own_line = line.fields.get("request") == timeline.request
+        if is_own_line:
+            if previous is not None and line.time - previous >= MIN_GAP_S:
+                texts.append(f"           ... {line.time - previous:.3f} s without a line")
+            previous = line.time
+        mark = " " if is_own_line else "~"
         fields = " ".join(f"{k}={v}" for k, v in line.fields.items() if k != "request")
         texts.append(
             f"{mark} {line.time - start:+9.3f} {line.process:<18} {line.event:<18} {fields}"
@@ -98,29 +98,33 @@
     return "\n".join(texts)
 
 
-def _about(story: Story, others: list[TracedLine]) -> list[TracedLine]:
-    """Return the lines about the story's servers at its time, each once."""
-    if not story.lines:
+def _context_lines(timeline: RequestTimeline, events: list[TracedLine]) -> list[TracedLine]:
+    """Return the events about the request's servers around its time.
+
+    Only events logged by processes that handled the request count, so that an event which every
+    process logs doesn't appear once for each of them.
+    """
+    if not timeline.lines:
         return []
-    targets = {line.fields.get("target") for line in story.lines}
-    begin, end = story.lines[0].time - CONTEXT_SECONDS, story.lines[-1].time + CONTEXT_SECONDS
-    entries = {line.process for line in story.lines}
+    targets = {line.fields.get("target") for line in timeline.lines}
+    begin, end = timeline.lines[0].time - CONTEXT_S, timeline.lines[-1].time + CONTEXT_S
+    processes = {line.process for line in timeline.lines}
     return [
         line
-        for line in others
+        for line in events
         if line.fields.get("target") in targets
         and begin <= line.time <= end
-        and line.process in entries
+        and line.process in processes
     ]
 
 
-def _parsed(lines: Iterable[str]) -> Iterator[TracedLine]:
+def _parse_lines(lines: Iterable[str]) -> Iterator[TracedLine]:
     for text in lines:
         start = text.find("time=")
         if start < 0 or "event=" not in text:
             continue
         fields = {name: value.strip('"') for name, value in PAIR.findall(text[start:])}
-        time = _seconds(fields.pop("time", ""))
+        time = _seconds_of_day(fields.pop("time", ""))
         event = fields.pop("event", "")
         fields.pop("level", None)
         if time is None or not event:
@@ -129,7 +133,7 @@
         yield TracedLine(time, words[-1] if words else "", event, fields)
 
 
-def _seconds(text: str) -> float | None:
+def _seconds_of_day(text: str) -> float | None:
     clock = text.partition(" ")[2].replace(",", ".").split(":")
     if len(clock) != 3:
         return None
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,8 +1,8 @@
-"""Tests of the story of a request."""
+"""Tests of the timeline of a request."""
 
 import unittest
 
-from briarspur.trace import read_story, story_text
+from briarspur.trace import read_timeline, timeline_text
 
 LOG = """
   1.20 front-a time="2026-01-02 03:04:05.100" event=attempt request=r-1 target=t-1 warm=no
@@ -17,20 +17,20 @@
 
 
 class TraceTest(unittest.TestCase):
-    """From an id to what happened."""
+    """A request's timeline is assembled from its id."""
 
-    def test_a_story_has_its_lines_gaps_and_servers(self) -> None:
-        story = read_story("r-1", reversed(LOG))
+    def test_a_timeline_has_the_lines_gaps_and_server_events_of_its_request(self) -> None:
+        timeline = read_timeline("r-1", reversed(LOG))
         self.assertEqual(
-            ["attempt", "attempt-ended", "failed"], [line.event for line in story.lines]
+            ["attempt", "attempt-ended", "failed"], [line.event for line in timeline.lines]
         )
-        self.assertEqual(["t-1"], [line.fields["target"] for line in story.context])
-        text = story_text(story)
+        self.assertEqual(["t-1"], [line.fields["target"] for line in timeline.context])
+        text = timeline_text(timeline)
         self.assertIn("0.500 s without a line", text)
         self.assertIn("outcome=lost", text)
         self.assertNotIn("r-2", text)
 
-    def test_an_unknown_id(self) -> None:
-        self.assertIn("nothing in these logs", story_text(read_story("r-9", LOG)))
+    def test_an_unknown_id_has_an_empty_timeline(self) -> None:
+        self.assertIn("nothing in these logs", timeline_text(read_timeline("r-9", LOG)))
         sampled = [*LOG, 'x time="2026-01-02 03:04:06.000" event=log-sampling one_in=4']
-        self.assertIn("left out", story_text(read_story("r-9", sampled)))
+        self.assertIn("left out", timeline_text(read_timeline("r-9", sampled)))
