--- a/briarspur/oneshot.py
+++ b/briarspur/oneshot.py
@@ -1,4 +1,4 @@
-"""Running one coroutine on the loop that Twisted and grpclib share, then ending."""
+"""Run one coroutine to completion on the event loop that Twisted and grpclib share."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -10,12 +10,14 @@
 
 
 def run_once(start: Callable[[], Coroutine[Any, Any, T]]) -> T:
-    """Return what the coroutine returns, or raise what it raises; once a process.
+    """Run a coroutine; return its result or raise its exception.
+
+    Can be called only once per process, since a reactor cannot be restarted.
 
     Parameters
     ----------
     start : callable
-        Makes the coroutine; called once the reactor is installed.
+        Creates the coroutine; called after the reactor is installed.
     """
     loop = asyncio.new_event_loop()
     asyncio.set_event_loop(loop)
@@ -25,11 +27,11 @@
     from twisted.internet import reactor as installed
 
     reactor = cast(asyncioreactor.AsyncioSelectorReactor, installed)
-    running = loop.create_task(start())
-    running.add_done_callback(lambda _: reactor.stop())
+    task = loop.create_task(start())
+    task.add_done_callback(lambda _: reactor.stop())
     reactor.run()
-    if not running.done():
+    if not task.done():
         # The reactor was stopped by a signal.
-        running.cancel()
+        task.cancel()
         raise KeyboardInterrupt
-    return running.result()
+    return task.result()
--- a/briarspur/status.py
+++ b/briarspur/status.py
@@ -1,4 +1,4 @@
-"""What an entry says at ``/status``, and the summary of all entries by zone."""
+"""The document an entry serves at ``/status``, and the summary of all entries by zone."""
 
 from collections import defaultdict
 from collections.abc import Mapping, Sequence
@@ -18,13 +18,16 @@
 
 
 class StatusDocument(BaseModel):
-    """Base of what daemons report; a newer daemon may say more, so other keys are ignored."""
+    """Base of the documents that daemons report.
+
+    A newer daemon may report more, so unknown keys are ignored.
+    """
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
 class DrainStatus(StatusDocument):
-    """A leaving target as one entry sees it; ``seconds`` since the entry learnt of it."""
+    """A leaving target as one entry sees it; ``seconds`` have passed since the entry noticed it."""
 
     target_id: str
     in_flight: int
@@ -32,7 +35,7 @@
 
 
 class BudgetStatus(StatusDocument):
-    """What is left of one limit at one entry."""
+    """The unused part of one limit at one entry."""
 
     name: str
     left: float
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneStatus:
-    """The entries of one availability zone that answered."""
+    """Summary of the entries in one availability zone that answered."""
 
     zone: str
     entries: int
@@ -68,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainSummary:
-    """A leaving target over all entries that answered."""
+    """A leaving target, summed over all entries that answered."""
 
     target_id: str
     in_flight: int
@@ -78,19 +81,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetStatus:
-    """All entries.
+    """The state of all entries.
 
     Attributes
     ----------
     expected_version : int
-        The revision in force in the store.
+        The version of the policy in force in the store.
     in_force_everywhere : bool
         Every entry answered, and none has an older version.
     holders : dict of str to int
-        Holder of the plan's lease to its term, as entries have it in force; more than one while
-        a change of holder spreads.
+        Term of the plan's lease by its holder, from the plans that entries have in force. There
+        is more than one holder while a change of holder propagates.
     unreachable_by_id : dict of str to str
-        Entries that did not answer, with what was seen. Nothing is known of them.
+        The error for each entry that did not answer; its state is unknown.
     """
 
     expected_version: int
@@ -105,7 +108,7 @@
 def summarize(
     expected_version: int, statuses: Sequence[EntryStatus], unreachable_by_id: Mapping[str, str]
 ) -> FleetStatus:
-    """Return the summary of what the entries answered."""
+    """Return the summary of the entries' status documents."""
     zones: defaultdict[str, list[EntryStatus]] = defaultdict(list)
     for status in statuses:
         zones[status.zone].append(status)
@@ -113,25 +116,25 @@
     for status in statuses:
         if status.plan_holder:
             holders[status.plan_holder] = max(status.plan_term, holders.get(status.plan_holder, 0))
-    behind = any(status.policy_version < expected_version for status in statuses)
+    any_behind = any(status.policy_version < expected_version for status in statuses)
     return FleetStatus(
         expected_version=expected_version,
-        in_force_everywhere=bool(statuses) and not behind and not unreachable_by_id,
-        zones_by_name={name: _zone(name, found) for name, found in sorted(zones.items())},
+        in_force_everywhere=bool(statuses) and not any_behind and not unreachable_by_id,
+        zones_by_name={name: _summarize_zone(name, found) for name, found in sorted(zones.items())},
         holders=holders,
-        drains_by_target=_drains(statuses),
-        budgets_by_name=_budgets(statuses),
+        drains_by_target=_sum_drains(statuses),
+        budgets_by_name=_sum_budgets(statuses),
         unreachable_by_id=dict(unreachable_by_id),
     )
 
 
-def _zone(name: str, statuses: list[EntryStatus]) -> ZoneStatus:
+def _summarize_zone(name: str, statuses: list[EntryStatus]) -> ZoneStatus:
     versions = [status.policy_version for status in statuses]
     ready = sum(status.ready for status in statuses)
     return ZoneStatus(name, len(statuses), ready, min(versions), max(versions))
 
 
-def _drains(statuses: Sequence[EntryStatus]) -> dict[str, DrainSummary]:
+def _sum_drains(statuses: Sequence[EntryStatus]) -> dict[str, DrainSummary]:
     found: defaultdict[str, list[DrainStatus]] = defaultdict(list)
     for status in statuses:
         for drain in status.drains:
@@ -147,8 +150,8 @@
     }
 
 
-def _budgets(statuses: Sequence[EntryStatus]) -> dict[str, BudgetStatus]:
-    """Return each budget summed over entries: their shares add up to the whole limit."""
+def _sum_budgets(statuses: Sequence[EntryStatus]) -> dict[str, BudgetStatus]:
+    """Return each budget summed over entries; each entry has a share of the whole limit."""
     sums: defaultdict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
     for status in statuses:
         for budget in status.budgets:
--- a/briarspur/statuspage.py
+++ b/briarspur/statuspage.py
@@ -10,11 +10,11 @@
 
 
 class DaemonStatus(Protocol):
-    """What a daemon says of itself."""
+    """The status that a daemon reports."""
 
     @property
     def ready(self) -> bool:
-        """Whether it does its work."""
+        """Whether the daemon is able to do its work."""
 
     def model_dump_json(self) -> str:
         """Return the status page as JSON."""
@@ -41,10 +41,10 @@
         self._render = render
 
     def render_GET(self, request: Request) -> bytes:  # noqa: N802
-        """Answer a GET."""
+        """Render the page for a GET request."""
         status, text = self._render()
         request.setResponseCode(status)
         is_json = text.startswith("{")
-        kind = b"application/json" if is_json else b"text/plain; charset=utf-8"
-        request.setHeader(b"content-type", kind)
+        content_type = b"application/json" if is_json else b"text/plain; charset=utf-8"
+        request.setHeader(b"content-type", content_type)
         return text.encode()
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -18,9 +18,9 @@
 
 
 class SummarizeTest(unittest.TestCase):
-    """What is not known is never reported as well."""
+    """An unknown state is never reported as a good one."""
 
-    def test_versions_by_zone_and_sums(self) -> None:
+    def test_versions_are_grouped_by_zone_and_drains_and_budgets_summed(self) -> None:
         statuses = [entry("e1", "a", 4, 2), entry("e2", "a", 5, 1), entry("e3", "b", 5)]
         fleet = summarize(5, statuses, {})
         zone = fleet.zones_by_name["a"]
@@ -30,7 +30,7 @@
         self.assertEqual(fleet.holders, {"steer-1": 4})
         self.assertEqual(fleet.budgets_by_name["north.in_flight"].limit, 18)
 
-    def test_an_entry_that_does_not_answer_is_not_in_force(self) -> None:
+    def test_a_version_is_not_in_force_everywhere_while_an_entry_does_not_answer(self) -> None:
         self.assertTrue(summarize(5, [entry("e1", "a", 5)], {}).in_force_everywhere)
         self.assertFalse(summarize(5, [entry("e1", "a", 5)], {"e2": "cut"}).in_force_everywhere)
         self.assertFalse(summarize(5, [], {}).in_force_everywhere)
