--- a/briarspur/console.py
+++ b/briarspur/console.py
@@ -13,7 +13,7 @@
 from briarspur.exits import ExitCode
 from briarspur.fetch import HttpFetcher
 from briarspur.objects import VmList, open_store
-from briarspur.operators import FormGuard, OperatorTokens
+from briarspur.operators import CsrfGuard, OperatorTokens
 from briarspur.repository import PolicyRepository
 from briarspur.serviceview import ServiceView
 from briarspur.settings import ConsoleSettings
@@ -46,7 +46,7 @@
             HttpFetcher(self._reactor, settings.platform.timeout_s),
             time.time,
         )
-        guard = FormGuard()
+        guard = CsrfGuard()
         console = Console(repository, view, OperatorTokens(settings.token_file), guard)
         site = ConsoleSite(console, guard, settings.host, settings.form_bytes)
         self._port = self._reactor.listenTCP(settings.port, site, BACKLOG, settings.host)
--- a/briarspur/consolepages.py
+++ b/briarspur/consolepages.py
@@ -25,7 +25,7 @@
     section_of,
 )
 from briarspur.lint import warnings_of
-from briarspur.operators import FormGuard, OperatorTokens
+from briarspur.operators import CsrfGuard, OperatorTokens
 from briarspur.policy import PolicyDocument, parse_policy
 from briarspur.porcelain import Race
 from briarspur.repository import PolicyRepository
@@ -89,7 +89,7 @@
         repository: PolicyRepository,
         view: ServiceView,
         tokens: OperatorTokens,
-        guard: FormGuard,
+        guard: CsrfGuard,
     ) -> None:
         self._repository = repository
         self._view = view
@@ -267,7 +267,7 @@
         """Make the reviewed document the policy in force, if its author may and nobody raced."""
         document = parse_policy(asked.get("document"), "draft")
         base = int(asked.get("base")) if asked.get("base").isdecimal() else ABSENT
-        name = self._tokens.name_of(asked.get("token"))
+        name = self._tokens.find_operator(asked.get("token"))
         if name is None:
             logs.event("change-refused", logging.WARNING, reason="no operator's token")
             fault = "The operator's token is wrong."
--- a/briarspur/consoleweb.py
+++ b/briarspur/consoleweb.py
@@ -10,7 +10,7 @@
 
 from briarspur import logs
 from briarspur.consolepages import Asked, Console, Page
-from briarspur.operators import FormGuard
+from briarspur.operators import CsrfGuard
 
 __all__ = ["ConsoleRequest", "ConsoleSite"]
 
@@ -161,7 +161,7 @@
         Largest body of a request.
     """
 
-    def __init__(self, console: Console, guard: FormGuard, host: str, form_bytes: int) -> None:
+    def __init__(self, console: Console, guard: CsrfGuard, host: str, form_bytes: int) -> None:
         super().__init__(timeout=IDLE_S)
         self.console = console
         self.guard = guard
--- a/briarspur/operators.py
+++ b/briarspur/operators.py
@@ -1,4 +1,4 @@
-"""Who may change the policy through the console: operators' tokens and protection of forms."""
+"""Authorization of policy changes in the console: operator tokens and CSRF protection."""
 
 import hashlib
 import hmac
@@ -6,15 +6,15 @@
 
 from briarspur.errors import Fault, SettingsError
 
-__all__ = ["FormGuard", "OperatorTokens"]
+__all__ = ["CsrfGuard", "OperatorTokens"]
 
-MIN_TOKEN = 16
+MIN_TOKEN_CHARS = 16
 
 
 class OperatorTokens:
-    """The tokens in a file: one ``name token`` a line, or one token alone.
+    """The tokens in a file with one ``name token`` per line, or with a single token.
 
-    The file is read at each check, so that a token that was taken out counts no more at once.
+    The file is read at each check, so that a token is revoked as soon as it is removed from it.
     """
 
     def __init__(self, path: str) -> None:
@@ -22,12 +22,12 @@
         self.read()
 
     def read(self) -> dict[str, str]:
-        """Return the tokens by operator's name.
+        """Return each operator's token by name.
 
         Raises
         ------
         SettingsError
-            The file cannot be read, or a token in it is short.
+            The file cannot be read, has no token, or has a token that is too short.
         """
         try:
             with open(self._path, encoding="utf-8") as file:
@@ -35,44 +35,47 @@
         except (OSError, UnicodeDecodeError) as error:
             raise SettingsError(self._path, [Fault("(file)", str(error))]) from None
         tokens = {parts[0] if len(parts) > 1 else "operator": parts[-1] for parts in lines}
-        if not tokens or any(len(token) < MIN_TOKEN for token in tokens.values()):
-            fault = Fault("(file)", f"each line needs a token of {MIN_TOKEN} or more characters")
+        if not tokens or any(len(token) < MIN_TOKEN_CHARS for token in tokens.values()):
+            fault = Fault(
+                "(file)", f"each line needs a token of {MIN_TOKEN_CHARS} or more characters"
+            )
             raise SettingsError(self._path, [fault])
         return tokens
 
-    def name_of(self, given: str) -> str | None:
-        """Return whose token ``given`` is; None if nobody's.
+    def find_operator(self, token: str) -> str | None:
+        """Return the name of the operator who has this token, or None.
 
-        Guards against guessing a token by the time its refusal takes: digests are compared, in
-        constant time, with every token, whichever of them fits.
+        Guards against timing attacks: the token's digest is compared in constant time with the
+        digest of every token in the file, even after one has matched.
         """
-        wanted = hashlib.sha256(given.encode()).digest()
+        wanted = hashlib.sha256(token.encode()).digest()
         found = None
-        for name, token in self.read().items():
-            if hmac.compare_digest(hashlib.sha256(token.encode()).digest(), wanted):
+        for name, known in self.read().items():
+            if hmac.compare_digest(hashlib.sha256(known.encode()).digest(), wanted):
                 found = name
         return found
 
 
-class FormGuard:
-    """Ties each form to the browser it was shown in.
+class CsrfGuard:
+    """Ties each form to the session of the browser that it was rendered for.
 
-    Guards against a foreign page that makes an operator's browser send a form here: it can send
-    the cookie, but it can neither read it nor make the form's field, which is a keyed digest of it.
+    Protects against cross-site request forgery: a foreign page can make an operator's browser send
+    the session cookie, but can neither read the cookie nor compute the form's hidden field, which
+    is a keyed digest of it.
     """
 
     def __init__(self) -> None:
         self._key = secrets.token_bytes(32)
 
     def new_session(self) -> str:
-        """Return the value of a new cookie."""
+        """Return a new value for the session cookie."""
         return secrets.token_urlsafe(24)
 
     def field_for(self, session: str) -> str:
-        """Return the hidden field that belongs to a cookie."""
+        """Return the value of the hidden field for a session cookie."""
         return hmac.new(self._key, session.encode(), hashlib.sha256).hexdigest()
 
     def accepts(self, session: str, field: str) -> bool:
-        """Return whether the field belongs to the cookie."""
+        """Return whether the hidden field belongs to the session cookie."""
         expected = self.field_for(session).encode()
         return bool(session) and hmac.compare_digest(expected, field.encode())
--- a/briarspur/steer.py
+++ b/briarspur/steer.py
@@ -18,12 +18,12 @@
 from briarspur.coord.lease import FencedWriter, Lease
 from briarspur.coord.sweep import Sweeper, hex_prefixes
 from briarspur.coord.writer import ConditionalWriter
+from briarspur.loadcollector import LoadCollector
 from briarspur.metrics import Metrics, NullMetrics, StatsdMetrics
 from briarspur.objects import VmList, open_store
 from briarspur.peers import PeerClient, PeerClientSettings
 from briarspur.plan import PLAN_NAME
 from briarspur.planner import Planner
-from briarspur.reporters import Reporters
 from briarspur.settings import SteerSettings
 from briarspur.statuspage import status_site
 from briarspur.steerround import PolicyReader, SteerRounds
@@ -80,7 +80,7 @@
             FencedWriter(self._lease, PLAN_NAME, writer),
             self._policies,
             Planner(settings.holder_id),
-            Reporters(self._vms, self._peers).collect,
+            LoadCollector(self._vms, self._peers).collect,
             time.monotonic,
             self._metrics,
         )
--- a/tests/test_consolepages.py
+++ b/tests/test_consolepages.py
@@ -11,7 +11,7 @@
 from briarspur.coord.envelope import Envelope
 from briarspur.coord.store import ABSENT
 from briarspur.errors import SettingsError
-from briarspur.operators import FormGuard, OperatorTokens
+from briarspur.operators import CsrfGuard, OperatorTokens
 from briarspur.plan import PlanDocument, PlanSplit
 from briarspur.repository import PolicyRepository
 from briarspur.serviceview import ServiceView
@@ -35,7 +35,7 @@
         self.token_file = self.enterContext(tempfile.NamedTemporaryFile("w+"))
         self.token_file.write(f"ana {TOKEN}\n")
         self.token_file.flush()
-        self.guard = FormGuard()
+        self.guard = CsrfGuard()
         tokens = OperatorTokens(self.token_file.name)
         self.console = Console(self.repository, view, tokens, self.guard)
 
@@ -236,9 +236,9 @@
             file.write(f"{TOKEN}\n")
             file.flush()
             tokens = OperatorTokens(file.name)
-            self.assertEqual(tokens.name_of(TOKEN), "operator")
-            self.assertIsNone(tokens.name_of(TOKEN + "x"))
-            self.assertIsNone(tokens.name_of(""))
+            self.assertEqual(tokens.find_operator(TOKEN), "operator")
+            self.assertIsNone(tokens.find_operator(TOKEN + "x"))
+            self.assertIsNone(tokens.find_operator(""))
             file.write("bo short\n")
             file.flush()
             with self.assertRaises(SettingsError):
--- a/tests/test_consoleweb.py
+++ b/tests/test_consoleweb.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from briarspur.consolepages import Asked, Page
-from briarspur.operators import FormGuard
+from briarspur.operators import CsrfGuard
 from tests import reactor
 
 LIMIT = 2_000
@@ -27,7 +27,7 @@
     from briarspur.consoleweb import ConsoleSite
 
     echo: Any = EchoConsole()
-    site = ConsoleSite(echo, FormGuard(), host, LIMIT)
+    site = ConsoleSite(echo, CsrfGuard(), host, LIMIT)
     twisted_reactor: Any = installed
     port = twisted_reactor.listenTCP(0, site, 5, "127.0.0.1")
     try:
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -12,13 +12,13 @@
 from briarspur.coord.writer import Written
 from briarspur.errors import PeerError
 from briarspur.gossip import ObjectCopy
+from briarspur.loadcollector import LoadCollector
 from briarspur.loadreport import LoadDocument, ServiceLoad
 from briarspur.metrics import NullMetrics
 from briarspur.objects import Vm, VmState
 from briarspur.plan import PlanDocument, parse_plan
 from briarspur.planner import Planner, PlannerSettings
 from briarspur.policy import Policy, compile_policy, parse_policy
-from briarspur.reporters import Reporters
 from briarspur.steerround import SteerRounds
 from tests.examples import small_policy
 
@@ -176,4 +176,4 @@
                 value = good.model_dump_json().encode() if address.port == 1 else b"{"
                 return ObjectCopy(name, 1, b"", value)
 
-        self.assertEqual(await Reporters(Vms(), Source()).collect(), [good])
+        self.assertEqual(await LoadCollector(Vms(), Source()).collect(), [good])
