--- a/briarspur/consolepages.py
+++ b/briarspur/consolepages.py
@@ -24,7 +24,7 @@
     parse_draft,
     section_of,
 )
-from briarspur.lint import warnings_of
+from briarspur.lint import find_warnings
 from briarspur.operators import CsrfGuard, OperatorTokens
 from briarspur.policy import PolicyDocument, parse_policy
 from briarspur.porcelain import Race
@@ -256,7 +256,7 @@
             current=current,
             base=base,
             changes=difference(before, whole),
-            warnings=warnings_of(document),
+            warnings=find_warnings(document),
             whole=json.dumps(whole, indent=2, ensure_ascii=False),
             document=json.dumps(whole),
             note=note,
--- a/briarspur/porcelain.py
+++ b/briarspur/porcelain.py
@@ -20,7 +20,7 @@
     lookup,
     status,
 )
-from briarspur.lint import warnings_of
+from briarspur.lint import find_warnings
 from briarspur.policy import PolicyDocument, TargetState, parse_policy
 from briarspur.repository import PolicyRepository
 from briarspur.revision import Draft, Revision
@@ -116,7 +116,7 @@
         document = parse_policy(text, source)
     except DocumentError as error:
         return CheckReport(None, tuple(error.faults), ())
-    return CheckReport(document, (), tuple(warnings_of(document)))
+    return CheckReport(document, (), tuple(find_warnings(document)))
 
 
 async def diff(repository: PolicyRepository, document: PolicyDocument) -> DiffReport:
@@ -124,7 +124,7 @@
     current = await repository.current()
     version = current.version if current else ABSENT
     changes = difference(as_json(current.document) if current else {}, as_json(document))
-    return DiffReport(version, tuple(changes), tuple(warnings_of(document)))
+    return DiffReport(version, tuple(changes), tuple(find_warnings(document)))
 
 
 async def apply(
@@ -145,7 +145,7 @@
     base = await _document_of(repository, expected_version)
     if accepted.is_ok():
         changes = difference(base or {}, as_json(document))
-        return Ok(Accepted(accepted.ok, tuple(changes), tuple(warnings_of(document))))
+        return Ok(Accepted(accepted.ok, tuple(changes), tuple(find_warnings(document))))
     current = accepted.error.current
     comparison = None
     if current is not None and base is not None:
--- a/tests/standins/test_examples.py
+++ b/tests/standins/test_examples.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from briarspur.documents import load_settings
-from briarspur.lint import warnings_of
+from briarspur.lint import find_warnings
 from briarspur.policy import parse_policy
 from briarspur.processsettings import PlatformSettings
 from briarspur.settings import (
@@ -45,7 +45,7 @@
             )
             self.assertEqual(len(policy.entries), 10)
             self.assertEqual([len(r.zones) for r in policy.regions.values()], [2, 2, 2])
-            self.assertEqual(warnings_of(policy), [])
+            self.assertEqual(find_warnings(policy), [])
 
     def test_settings_are_valid(self) -> None:
         for name in TARGETS:
