--- a/briarspur/cli.py
+++ b/briarspur/cli.py
@@ -17,7 +17,7 @@
 from briarspur.oneshot import run_once
 from briarspur.planview import read_plan
 from briarspur.policy import TargetState, compile_policy, parse_policy
-from briarspur.porcelain import Accepted, Race, Refused
+from briarspur.porcelain import Accepted, Refused, VersionConflict
 from briarspur.trace import read_timeline, timeline_text
 
 __all__ = ["Briarspur", "main"]
@@ -37,11 +37,13 @@
 ]
 
 
-def _accepted_or_not(context: Context, result: Result[Accepted, Race | Refused]) -> ExitCode:
+def _accepted_or_not(
+    context: Context, result: Result[Accepted, VersionConflict | Refused]
+) -> ExitCode:
     if result.is_ok():
         show(context, result.ok, printing.accepted_text)
         return ExitCode.OK
-    if isinstance(result.error, Race):
+    if isinstance(result.error, VersionConflict):
         show(context, result.error, printing.race_text)
         return ExitCode.CONFLICT
     show(context, result.error, lambda refused: f"refused: {refused.reason}")
--- a/briarspur/consolepages.py
+++ b/briarspur/consolepages.py
@@ -27,7 +27,7 @@
 from briarspur.lint import find_warnings
 from briarspur.operators import CsrfGuard, OperatorTokens
 from briarspur.policy import PolicyDocument, parse_policy
-from briarspur.porcelain import Race
+from briarspur.porcelain import VersionConflict
 from briarspur.repository import PolicyRepository
 from briarspur.revision import MAX_NOTE
 from briarspur.serviceview import ServiceView
@@ -287,7 +287,7 @@
         )
         return self._render(asked, OK, "accepted.html", accepted=accepted)
 
-    def _conflict(self, asked: Asked, document: PolicyDocument, race: Race) -> Page:
+    def _conflict(self, asked: Asked, document: PolicyDocument, race: VersionConflict) -> Page:
         """Show both edits; the author's whole document stays in the form."""
         mine = porcelain.as_json(document)
         theirs = porcelain.as_json(race.current.document) if race.current else {}
@@ -326,7 +326,7 @@
         current = await self._repository.current()
         theirs = porcelain.as_json(current.document) if current else {}
         comparison = await self._comparison(asked, mine, theirs)
-        return self._conflict(asked, document, Race(expected, current, comparison))
+        return self._conflict(asked, document, VersionConflict(expected, current, comparison))
 
     async def _comparison(self, asked: Asked, mine: Draft, theirs: Draft) -> Comparison:
         version = asked.get("base")
--- a/briarspur/inquiry.py
+++ b/briarspur/entryqueries.py
@@ -1,4 +1,4 @@
-"""What operators ask the entries: their state, the progress of a drain, a look-up."""
+"""Queries to the entries: their status, the progress of a drain, and a look-up."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
@@ -22,30 +22,30 @@
 
 STATUS_PATH = "/status"
 LOOKUP_PATH = "/v1/lookup"
-ASKED_AT_ONCE = 20
+MAX_CONCURRENT_QUERIES = 20
 FINAL_REFUSALS = frozenset({Code.UNKNOWN_SERVICE, Code.BAD_REQUEST})
-"""Refusals of a look-up that every entry would give; after others a caller asks the next one."""
+"""Look-up refusals that every entry would return; after any other, callers ask the next entry."""
 
 
 class Directory(Protocol):
-    """Knows where entries answer HTTP, by a list that may lag."""
+    """Lists the entries' HTTP endpoints; the list may be stale."""
 
     async def endpoints(self) -> list[Endpoint]:
-        """Return the entries' endpoints, each named by its entry id."""
+        """Return the entries' endpoints; an endpoint's name is its entry id."""
 
 
 @dataclass(frozen=True, slots=True)
 class DrainProgress:
-    """How far a drain is.
+    """The progress of a drain.
 
     Attributes
     ----------
     in_flight : int
-        Requests at the target, over the entries that answered.
+        Requests in flight at the target, summed over the entries that answered.
     waiting_for : dict of str to str
-        Entries of which it is not known that the drain is in force, with the reason.
+        Entries that may not have the drain in force, with the reason.
     done : bool
-        Every entry has the drain in force and none has a request at the target.
+        Whether every entry has the drain in force and none has a request in flight at the target.
     """
 
     target_id: str
@@ -56,7 +56,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupReport:
-    """The answer a caller would get, who gave it, and why it is so."""
+    """The answer that a caller would get, and the reasons for it.
+
+    Attributes
+    ----------
+    asked : str
+        The entry that answered.
+    not_answering : dict of str to str
+        The error for each entry that was asked before it.
+    """
 
     asked: str
     answer: dict[str, Any]
@@ -68,9 +76,9 @@
 async def status(
     repository: PolicyRepository, directory: Directory, fetcher: Fetcher
 ) -> FleetStatus:
-    """Ask every entry for its state."""
+    """Ask every entry for its status and return the summary."""
     current = await repository.current()
-    statuses, unreachable = await _ask_entries(directory, fetcher)
+    statuses, unreachable = await _fetch_statuses(directory, fetcher)
     version = current.version if current else ABSENT
     return summarize(version, statuses, unreachable)
 
@@ -83,18 +91,18 @@
     sleep: Callable[[float], Awaitable[None]],
     interval: float,
 ) -> AsyncIterator[DrainProgress]:
-    """Yield how far a drain is until it is done.
+    """Yield the progress of a drain until it is done.
 
     Parameters
     ----------
     version : int
-        The revision that says the target is leaving.
+        The policy version in which the target is leaving.
     interval : float
-        Seconds between two questions to the entries.
+        Seconds between two queries to the entries.
     """
     while True:
-        statuses, unreachable = await _ask_entries(directory, fetcher)
-        progress = _progress(target_id, version, statuses, unreachable)
+        statuses, unreachable = await _fetch_statuses(directory, fetcher)
+        progress = _measure_drain(target_id, version, statuses, unreachable)
         yield progress
         if progress.done:
             return
@@ -108,12 +116,12 @@
     service: str,
     client: str | None,
 ) -> LookupReport:
-    """Ask as a caller would: the entries in turn, until one answers.
+    """Look up a service as a caller would: ask one entry after another until one answers.
 
     Parameters
     ----------
     client : str or None
-        Ask on behalf of a caller with this IP number; None asks with one's own.
+        Look up on behalf of a caller with this IP address; None uses this host's address.
 
     Raises
     ------
@@ -136,14 +144,16 @@
         except PeerError as error:
             not_answering[endpoint.name] = str(error)
             continue
-        reasons = _reasons(await repository.current(), service, answer)
+        reasons = _explain_answer(await repository.current(), service, answer)
         return LookupReport(endpoint.name, answer, not_answering, reasons)
-    why = "; ".join(not_answering.values()) or "the VM list is empty"
-    raise PeerError(f"no entry answered: {why}")
+    errors = "; ".join(not_answering.values()) or "the VM list is empty"
+    raise PeerError(f"no entry answered: {errors}")
 
 
-def _reasons(current: Revision | None, service: str, answer: dict[str, Any]) -> tuple[str, ...]:
-    """Return why a look-up was answered so, as far as answer and policy tell."""
+def _explain_answer(
+    current: Revision | None, service: str, answer: dict[str, Any]
+) -> tuple[str, ...]:
+    """Return the reasons for a look-up's answer that follow from the answer and the policy."""
     if current is None or service not in current.document.services:
         return ("the service is not in the policy in force",)
     policy = compile_policy(current.document, current.version)
@@ -158,28 +168,28 @@
     for choice in region_order(policy, policy.services_by_name[service], home):
         if choice.region == region:
             break
-        reasons.append(f"region {choice.region} was passed over: {_passed_over(choice)}")
+        reasons.append(f"region {choice.region} was passed over: {_skip_reason(choice)}")
     return tuple(reasons)
 
 
-def _passed_over(choice: RegionChoice) -> str:
+def _skip_reason(choice: RegionChoice) -> str:
     if not choice.target_ids:
-        return "no target takes new work there"
-    return "none of its entries is serving, as the entry that answered sees them"
+        return "no target accepts new work there"
+    return "the entry that answered sees none of its entries serving"
 
 
-async def _ask_entries(
+async def _fetch_statuses(
     directory: Directory, fetcher: Fetcher
 ) -> tuple[list[EntryStatus], dict[str, str]]:
-    """Return what the entries said, and by entry id why others said nothing."""
+    """Return the statuses of the entries that answered, and the other entries' errors by id."""
     endpoints = await directory.endpoints()
-    gate = asyncio.Semaphore(ASKED_AT_ONCE)
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
 
-    async def ask(endpoint: Endpoint) -> EntryStatus | PeerError:
-        async with gate:
-            return await _ask(endpoint, fetcher)
+    async def fetch(endpoint: Endpoint) -> EntryStatus | PeerError:
+        async with semaphore:
+            return await _fetch_status(endpoint, fetcher)
 
-    answers = await asyncio.gather(*(ask(endpoint) for endpoint in endpoints))
+    answers = await asyncio.gather(*(fetch(endpoint) for endpoint in endpoints))
     statuses: list[EntryStatus] = []
     unreachable: dict[str, str] = {}
     for endpoint, answer in zip(endpoints, answers, strict=True):
@@ -190,7 +200,7 @@
     return statuses, unreachable
 
 
-async def _ask(endpoint: Endpoint, fetcher: Fetcher) -> EntryStatus | PeerError:
+async def _fetch_status(endpoint: Endpoint, fetcher: Fetcher) -> EntryStatus | PeerError:
     try:
         return EntryStatus.model_validate(await fetcher.get_json(endpoint, STATUS_PATH))
     except PeerError as error:
@@ -199,7 +209,7 @@
         return PeerError(f"{endpoint.name}: {error.error_count()} faults in its status")
 
 
-def _progress(
+def _measure_drain(
     target_id: str, version: int, statuses: Sequence[EntryStatus], unreachable: dict[str, str]
 ) -> DrainProgress:
     waiting_for = dict(unreachable)
@@ -212,6 +222,6 @@
         for drain in entry.drains
         if drain.target_id == target_id
     )
-    # An entry that is not heard from may still have requests at the target: not done.
+    # An entry that does not answer may still have requests in flight at the target.
     done = bool(statuses) and not waiting_for and in_flight == 0
     return DrainProgress(target_id, in_flight, waiting_for, done)
--- a/briarspur/porcelain.py
+++ b/briarspur/porcelain.py
@@ -1,7 +1,7 @@
-"""The operators' verbs as plain functions, for the command line, the console and scripts.
+"""The operators' commands as plain functions, for the command line, the console and scripts.
 
-What can be refused returns a ``Result``; a store or an entry that cannot be reached raises an
-error of ``coord.errors`` or ``errors``.
+Functions that can be refused return a ``Result``. If the store or an entry can't be reached, they
+raise an error from ``coord.errors`` or ``errors``.
 """
 
 from dataclasses import dataclass
@@ -11,8 +11,7 @@
 
 from briarspur.change import Change, Comparison, compare, difference
 from briarspur.coord.store import ABSENT
-from briarspur.errors import DocumentError, Fault
-from briarspur.inquiry import (
+from briarspur.entryqueries import (
     Directory,
     DrainProgress,
     LookupReport,
@@ -20,6 +19,7 @@
     lookup,
     status,
 )
+from briarspur.errors import DocumentError, Fault
 from briarspur.lint import find_warnings
 from briarspur.policy import PolicyDocument, TargetState, parse_policy
 from briarspur.repository import PolicyRepository
@@ -32,9 +32,9 @@
     "Directory",
     "DrainProgress",
     "LookupReport",
-    "Race",
     "Refused",
     "Signature",
+    "VersionConflict",
     "apply",
     "as_json",
     "check",
@@ -46,12 +46,12 @@
     "status",
 ]
 
-RACE_ATTEMPTS = 3
+MAX_STATE_CHANGE_ATTEMPTS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Signature:
-    """Who writes a revision and why; ``token`` is unique to the write."""
+    """The author of a revision and the reason for it; ``token`` is unique to each write."""
 
     token: str
     author: str
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckReport:
-    """A document's faults, or the warnings about a valid one."""
+    """The faults of a document, or the warnings about a valid document."""
 
     document: PolicyDocument | None
     faults: tuple[Fault, ...]
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiffReport:
-    """What a document would change in the revision in force."""
+    """The changes that a document would make to the revision in force."""
 
     version: int
     changes: tuple[Change, ...]
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """A revision that is in force in the store, with what it changed."""
+    """A revision that was put in force in the store, with its changes."""
 
     revision: Revision
     changes: tuple[Change, ...]
@@ -87,15 +87,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Race:
-    """The policy is not at the version the author edited; nothing was written.
+class VersionConflict:
+    """The policy is not at the version that the author edited; nothing was written.
 
     Attributes
     ----------
     current : Revision or None
-        What is in force.
+        The revision in force.
     comparison : Comparison or None
-        Both edits side by side; None if the edited version is not in the history.
+        Both edits compared; None if the edited version is not in the history.
     """
 
     expected_version: int
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """What was asked for makes no sense with the policy in force; nothing was written."""
+    """The command does not apply to the policy in force; nothing was written."""
 
     reason: str
 
@@ -120,7 +120,7 @@
 
 
 async def diff(repository: PolicyRepository, document: PolicyDocument) -> DiffReport:
-    """Return what ``document`` would change."""
+    """Return the changes that ``document`` would make."""
     current = await repository.current()
     version = current.version if current else ABSENT
     changes = difference(as_json(current.document) if current else {}, as_json(document))
@@ -132,17 +132,17 @@
     document: PolicyDocument,
     expected_version: int,
     signature: Signature,
-) -> Result[Accepted, Race]:
-    """Make ``document`` the policy in force, if the policy is still at ``expected_version``.
+) -> Result[Accepted, VersionConflict]:
+    """Put ``document`` in force if the policy is still at ``expected_version``.
 
     Parameters
     ----------
     expected_version : int
-        The version that was edited; ``ABSENT`` if there must be no policy yet.
+        The version that was edited; ``ABSENT`` to require that there is no policy yet.
     """
     draft = Draft(document, signature.token, signature.author, signature.note, signature.written_at)
     accepted = await repository.accept(draft, expected_version)
-    base = await _document_of(repository, expected_version)
+    base = await _document_at(repository, expected_version)
     if accepted.is_ok():
         changes = difference(base or {}, as_json(document))
         return Ok(Accepted(accepted.ok, tuple(changes), tuple(find_warnings(document))))
@@ -150,12 +150,12 @@
     comparison = None
     if current is not None and base is not None:
         comparison = compare(base, as_json(document), as_json(current.document))
-    return Error(Race(expected_version, current, comparison))
+    return Error(VersionConflict(expected_version, current, comparison))
 
 
 async def rollback(
     repository: PolicyRepository, version: int, expected_version: int, signature: Signature
-) -> Result[Accepted, Race | Refused]:
+) -> Result[Accepted, VersionConflict | Refused]:
     """Put the document of a past version in force again, as a new and higher version."""
     past = await repository.revision(version)
     if past is None:
@@ -166,13 +166,12 @@
 
 async def set_target_state(
     repository: PolicyRepository, target_id: str, state: TargetState, signature: Signature
-) -> Result[Accepted, Race | Refused]:
-    """Say that a target is leaving or active, in the policy.
+) -> Result[Accepted, VersionConflict | Refused]:
+    """Set the state of a target in the policy.
 
-    A racing edit elsewhere in the policy is no hindrance: the state is set again in what the
-    other operator made.
+    If another operator's edit is accepted first, the state is set again in the resulting policy.
     """
-    for _ in range(RACE_ATTEMPTS):
+    for _ in range(MAX_STATE_CHANGE_ATTEMPTS):
         current = await repository.current()
         if current is None:
             return Error(Refused("no policy is in force"))
@@ -188,11 +187,11 @@
 
 
 def as_json(document: PolicyDocument) -> dict[str, Any]:
-    """Return the document as JSON values, for comparing and printing."""
+    """Return the document as JSON values for comparing and printing."""
     return document.model_dump(mode="json")
 
 
-async def _document_of(repository: PolicyRepository, version: int) -> dict[str, Any] | None:
+async def _document_at(repository: PolicyRepository, version: int) -> dict[str, Any] | None:
     if version == ABSENT:
         return {}
     revision = await repository.revision(version)
--- a/briarspur/printing.py
+++ b/briarspur/printing.py
@@ -17,7 +17,7 @@
     DiffReport,
     DrainProgress,
     LookupReport,
-    Race,
+    VersionConflict,
 )
 from briarspur.revision import Revision
 from briarspur.status import FleetStatus
@@ -90,7 +90,7 @@
     return "\n".join(lines)
 
 
-def race_text(race: Race) -> str:
+def race_text(race: VersionConflict) -> str:
     """Return whose edit is in force, and both edits side by side."""
     if race.current is None:
         return f"conflict: expected version {race.expected_version}, and there is no policy"
--- a/tests/test_porcelain.py
+++ b/tests/test_porcelain.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' verbs."""
+"""Tests of the operators' commands."""
 
 import copy
 import json
@@ -25,7 +25,7 @@
 
 
 class FakeEntries:
-    """Entries that answer from a table; one that is missing there does not answer."""
+    """Entries that answer from ``answers``; an entry without an answer is unreachable."""
 
     def __init__(self, names: list[str]) -> None:
         self.names = names
@@ -50,7 +50,7 @@
         self.answers[name] = answer
 
 
-class ChangeVerbsTest(unittest.IsolatedAsyncioTestCase):
+class ChangeCommandsTest(unittest.IsolatedAsyncioTestCase):
     """check, diff, apply, rollback, drain."""
 
     async def asyncSetUp(self) -> None:
@@ -66,7 +66,7 @@
             document["services"][name]["objective"] = {"latency_ms": latency}
         return parsed(document)
 
-    def test_check_names_every_fault(self) -> None:
+    def test_check_reports_every_fault(self) -> None:
         self.assertIsNone(porcelain.check("{}").document)
         self.assertGreater(len(porcelain.check("{}").faults), 3)
 
@@ -76,19 +76,19 @@
         self.assertEqual([c.name for c in report.changes], ["services.times.objective.latency_ms"])
         self.assertEqual((self.store.writes, report.version), (writes, self.version))
 
-    async def test_a_racing_edit_shows_both_changes(self) -> None:
-        # Two operators open version 1. Both change the same objective. The second to apply must
-        # see the other's change beside his own, and the one in force must stay.
+    async def test_a_conflict_shows_both_edits(self) -> None:
+        # Two operators edit the same objective of version 1. The second one to apply must see both
+        # edits, and the first edit must stay in force.
         mine, theirs = await self.edited(times=400), await self.edited(times=300, booking=450)
         await porcelain.apply(self.repository, theirs, self.version, sign("theirs"))
-        race = (await porcelain.apply(self.repository, mine, self.version, sign("mine"))).error
-        [conflict] = race.comparison.conflicts
-        self.assertEqual((conflict.mine.after, conflict.theirs.after), (400, 300))
-        self.assertEqual(len(race.comparison.theirs), 2)
+        conflict = (await porcelain.apply(self.repository, mine, self.version, sign("mine"))).error
+        [changed] = conflict.comparison.conflicts
+        self.assertEqual((changed.mine.after, changed.theirs.after), (400, 300))
+        self.assertEqual(len(conflict.comparison.theirs), 2)
         current = await self.repository.current()
         self.assertEqual(current and current.token, "theirs")
 
-    async def test_rollback_makes_a_higher_version(self) -> None:
+    async def test_a_rollback_creates_a_higher_version(self) -> None:
         changed = await porcelain.apply(
             self.repository, await self.edited(times=400), self.version, sign("t2")
         )
@@ -99,16 +99,16 @@
         missing = await porcelain.rollback(self.repository, 999, version, sign("t4"))
         self.assertIsInstance(missing.error, Refused)
 
-    async def test_a_drain_keeps_a_racing_edit(self) -> None:
+    async def test_a_drain_keeps_a_concurrent_edit(self) -> None:
         other = await self.edited(times=400)
-        real = self.repository.current
-        raced = False
+        original_current = self.repository.current
+        edited_concurrently = False
 
         async def current() -> Any:
-            nonlocal raced
-            found = await real()
-            if not raced:
-                raced = True
+            nonlocal edited_concurrently
+            found = await original_current()
+            if not edited_concurrently:
+                edited_concurrently = True
                 await porcelain.apply(self.repository, other, self.version, sign("other"))
             return found
 
@@ -127,12 +127,12 @@
         self.assertIn("nobody", refused.error.reason)
 
 
-class EntryVerbsTest(unittest.IsolatedAsyncioTestCase):
+class EntryCommandsTest(unittest.IsolatedAsyncioTestCase):
     """status, drain --wait and lookup."""
 
-    async def test_a_drain_is_done_only_when_every_entry_says_so(self) -> None:
-        # An operator switches a server off when the drain is reported done. One entry still has
-        # the old policy, another does not answer: either may have requests there.
+    async def test_a_drain_is_done_only_when_every_entry_has_it_in_force(self) -> None:
+        # An operator switches the server off when the drain is reported done. An entry with the old
+        # policy, or one that does not answer, may still have requests in flight there.
         entries = FakeEntries(["e1", "e2", "e3"])
         entries.set("e1", version=5, in_flight=2)
         entries.set("e2", version=4, in_flight=0)
@@ -157,14 +157,14 @@
         ]
         self.assertEqual(seen, expected)
 
-    async def test_status_names_entries_that_do_not_answer(self) -> None:
+    async def test_status_lists_entries_that_do_not_answer(self) -> None:
         entries = FakeEntries(["e1", "e2"])
         entries.set("e1", version=0, in_flight=0)
         entries.answers["e2"] = {"entry_id": "e2"}
         fleet = await porcelain.status(PolicyRepository(FakeStore(), skip_sleep), entries, entries)
         self.assertEqual(list(fleet.unreachable_by_id), ["e2"])
 
-    async def test_a_refused_lookup_is_an_answer(self) -> None:
+    async def test_a_final_refusal_ends_a_lookup(self) -> None:
         entries = FakeEntries(["e1", "e2"])
         entries.refusals["e1"] = {"code": 2107, "name": "NOT_READY"}
         entries.refusals["e2"] = {"code": 2001, "name": "UNKNOWN_SERVICE"}
@@ -173,7 +173,7 @@
         self.assertEqual((report.asked, report.refused), ("e2", True))
         self.assertEqual(list(report.not_answering), ["e1"])
 
-    async def test_lookup_asks_the_next_entry(self) -> None:
+    async def test_a_lookup_asks_the_next_entry_if_one_does_not_answer(self) -> None:
         entries = FakeEntries(["e1", "e2"])
         repository = PolicyRepository(FakeStore(), skip_sleep)
         await porcelain.apply(repository, parsed(small_policy()), ABSENT, sign("t1"))
