--- a/briarspur/burn.py
+++ b/briarspur/burn.py
@@ -15,7 +15,7 @@
 from briarspur import daemon, logs
 from briarspur.burncollect import Burn, BurnReader, BurnStatus
 from briarspur.burnreport import BurnReport, make_report, report_html, report_text
-from briarspur.clicontext import open_context, reader_gone
+from briarspur.clicontext import handle_broken_pipe, open_context
 from briarspur.collect import Collector
 from briarspur.coord.errors import StoreError
 from briarspur.coord.lease import Lease
@@ -171,7 +171,7 @@
     try:
         return run_once(lambda: _once(arguments))
     except BrokenPipeError:
-        return reader_gone()
+        return handle_broken_pipe()
     except DocumentError as error:
         print(error, file=sys.stderr)
         return ExitCode.INVALID
--- a/briarspur/cli.py
+++ b/briarspur/cli.py
@@ -1,4 +1,4 @@
-"""The operators' command line ``briarspur``: one class a command, thin over ``porcelain``."""
+"""The operators' command line ``briarspur``: one class per command, on top of ``porcelain``."""
 
 import sys
 from collections.abc import Sequence
@@ -9,7 +9,13 @@
 from expression import Result
 
 from briarspur import porcelain, printing
-from briarspur.clicontext import Context, open_context, read_file, reader_gone, show
+from briarspur.clicontext import (
+    Context,
+    handle_broken_pipe,
+    open_context,
+    print_result,
+    read_file,
+)
 from briarspur.coord.errors import StoreError, StoreUnavailableError, StoreUnclearError
 from briarspur.errors import DocumentError, PeerError
 from briarspur.exits import ExitCode
@@ -22,52 +28,52 @@
 
 __all__ = ["Briarspur", "main"]
 
-Note = Annotated[str, cappa.Arg(long=True, default="", help="why, for the history")]
-Expected = Annotated[
+Note = Annotated[str, cappa.Arg(long=True, default="", help="the reason, for the history")]
+ExpectedVersion = Annotated[
     int,
     cappa.Arg(
         long="--expect-version",
         default=0,
-        help="the version you edited; 0 if there must be no policy yet",
+        help="the version you edited; 0 to require that there is no policy yet",
     ),
 ]
 Wait = Annotated[
     float,
-    cappa.Arg(long=True, default=0.0, help="seconds to wait until it is done everywhere"),
+    cappa.Arg(long=True, default=0.0, help="maximum time to wait for all entries, in seconds"),
 ]
 
 
-def _accepted_or_not(
+def _print_outcome(
     context: Context, result: Result[Accepted, VersionConflict | Refused]
 ) -> ExitCode:
     if result.is_ok():
-        show(context, result.ok, printing.accepted_text)
+        print_result(context, result.ok, printing.accepted_text)
         return ExitCode.OK
     if isinstance(result.error, VersionConflict):
-        show(context, result.error, printing.race_text)
+        print_result(context, result.error, printing.conflict_text)
         return ExitCode.CONFLICT
-    show(context, result.error, lambda refused: f"refused: {refused.reason}")
+    print_result(context, result.error, lambda refused: f"refused: {refused.reason}")
     return ExitCode.REFUSED
 
 
 @cappa.command(epilog="Example: `briarspur check policy.json`")
 @dataclass
 class Check:
-    """Check a policy file without applying it; needs no store."""
+    """Check a policy file without applying it; no store is needed."""
 
     file: str
 
     async def run(self, context: Context) -> ExitCode:
-        """Print every fault and warning."""
+        """Print all faults and warnings."""
         report = porcelain.check(read_file(self.file), self.file)
-        show(context, report, printing.check_text)
+        print_result(context, report, printing.check_text)
         return ExitCode.INVALID if report.faults else ExitCode.OK
 
 
 @cappa.command(epilog="Example: `briarspur diff policy.json`")
 @dataclass
 class Diff:
-    """Show what a policy file would change in the version in force."""
+    """Show the changes that a policy file would make to the version in force."""
 
     file: str
 
@@ -75,26 +81,26 @@
         """Print the changes."""
         document = parse_policy(read_file(self.file), self.file)
         report = await porcelain.diff(context.repository, document)
-        show(context, report, printing.diff_text)
+        print_result(context, report, printing.diff_text)
         return ExitCode.OK
 
 
 @cappa.command(epilog="Example: `briarspur apply policy.json --expect-version 17 --note 'cap 40'`")
 @dataclass
 class Apply:
-    """Put a policy file in force, if the policy is still at the version you edited."""
+    """Put a policy file in force if the policy is still at the version you edited."""
 
     file: str
-    expected_version: Expected = 0
+    expected_version: ExpectedVersion = 0
     note: Note = ""
 
     async def run(self, context: Context) -> ExitCode:
-        """Write the policy, or show the racing edit."""
+        """Write the policy, or print the conflicting edit."""
         document = parse_policy(read_file(self.file), self.file)
         result = await porcelain.apply(
             context.repository, document, self.expected_version, context.sign(self.note)
         )
-        return _accepted_or_not(context, result)
+        return _print_outcome(context, result)
 
 
 @cappa.command(epilog="Example: `briarspur show > policy.json`")
@@ -105,7 +111,7 @@
     version: Annotated[int | None, cappa.Arg(long=True, help="a past version")] = None
 
     async def run(self, context: Context) -> ExitCode:
-        """Print the document alone, or with ``--json`` the whole revision."""
+        """Print the document, or the whole revision with ``--json``."""
         if self.version is None:
             revision = await context.repository.current()
         else:
@@ -113,7 +119,7 @@
         if revision is None:
             print("no such policy", file=sys.stderr)
             return ExitCode.REFUSED
-        show(context, revision, lambda found: printing.to_json(found.document))
+        print_result(context, revision, lambda found: printing.to_json(found.document))
         if not context.json:
             print(f"version {revision.version}", file=sys.stderr)
         return ExitCode.OK
@@ -122,38 +128,38 @@
 @cappa.command(epilog="Example: `briarspur status --wait 18`")
 @dataclass
 class Status:
-    """Ask every entry: version in force by zone, lease, drains, budgets left."""
+    """Query all entries: version in force by zone, lease, drains, remaining budgets."""
 
     wait: Wait = 0.0
 
     async def run(self, context: Context) -> ExitCode:
-        """Print the summary, once the version is in force everywhere or the time is over."""
+        """Print the summary once the version is in force everywhere or the wait time is over."""
         deadline = context.now() + self.wait
         while True:
             fleet = await porcelain.status(context.repository, context.directory, context.fetcher)
             if self.wait == 0 or fleet.in_force_everywhere or context.now() >= deadline:
                 break
             await context.sleep(context.interval)
-        show(context, fleet, printing.fleet_text)
+        print_result(context, fleet, printing.fleet_text)
         return ExitCode.NOT_DONE if self.wait and not fleet.in_force_everywhere else ExitCode.OK
 
 
 @cappa.command(epilog="Example: `briarspur drain quay-3 --wait 600 --note 'new disk'`")
 @dataclass
 class Drain:
-    """Let a target finish its work and give it no new work."""
+    """Stop sending new work to a target and let it finish its current work."""
 
     target: str
     wait: Wait = 0.0
     note: Note = ""
 
     async def run(self, context: Context) -> ExitCode:
-        """Set the target leaving; with ``--wait``, print progress until it is drained."""
+        """Set the target to leaving; with ``--wait``, print progress until it is drained."""
         signature = context.sign(self.note or f"drain {self.target}")
         result = await porcelain.set_target_state(
             context.repository, self.target, TargetState.LEAVING, signature
         )
-        code = _accepted_or_not(context, result)
+        code = _print_outcome(context, result)
         if code is not ExitCode.OK or self.wait == 0:
             return code
         deadline = context.now() + self.wait
@@ -165,7 +171,7 @@
             context.sleep,
             context.interval,
         ):
-            show(context, progress, printing.drain_text)
+            print_result(context, progress, printing.drain_text)
             if progress.done:
                 return ExitCode.OK
             if context.now() >= deadline:
@@ -176,46 +182,46 @@
 @cappa.command(epilog="Example: `briarspur undrain quay-3`")
 @dataclass
 class Undrain:
-    """Give a target new work again."""
+    """Send new work to a target again."""
 
     target: str
     note: Note = ""
 
     async def run(self, context: Context) -> ExitCode:
-        """Set the target active."""
+        """Set the target to active."""
         signature = context.sign(self.note or f"undrain {self.target}")
         result = await porcelain.set_target_state(
             context.repository, self.target, TargetState.ACTIVE, signature
         )
-        return _accepted_or_not(context, result)
+        return _print_outcome(context, result)
 
 
 @cappa.command(epilog="Example: `briarspur lookup booking --client 10.2.0.9`")
 @dataclass
 class Lookup:
-    """Ask which entries a caller should use, as a caller would, and say why."""
+    """Look up the entries a caller should use, as a caller would, and explain the answer."""
 
     service: str
-    client: Annotated[str | None, cappa.Arg(long=True, help="a caller's IP number")] = None
+    client: Annotated[str | None, cappa.Arg(long=True, help="a caller's IP address")] = None
 
     async def run(self, context: Context) -> ExitCode:
-        """Print the answer."""
+        """Print the answer and the reasons for it."""
         report = await porcelain.lookup(
             context.repository, context.directory, context.fetcher, self.service, self.client
         )
-        show(context, report, printing.lookup_text)
+        print_result(context, report, printing.lookup_text)
         return ExitCode.REFUSED if report.refused else ExitCode.OK
 
 
 @cappa.command(epilog="Example: `briarspur explain POST /booking/new --client 10.2.0.9`")
 @dataclass
 class Explain:
-    """Say which rule, regions and targets the policy and the plan give a request."""
+    """Explain which rule, regions and targets of the policy and plan apply to a request."""
 
     method: str
     path: str
-    client: Annotated[str, cappa.Arg(long=True, help="the caller's IP number")] = "127.0.0.1"
-    file: Annotated[str | None, cappa.Arg(long=True, help="a policy file, not yet applied")] = None
+    client: Annotated[str, cappa.Arg(long=True, help="the caller's IP address")] = "127.0.0.1"
+    file: Annotated[str | None, cappa.Arg(long=True, help="a policy file not yet applied")] = None
 
     async def run(self, context: Context) -> ExitCode:
         """Print the explanation."""
@@ -234,7 +240,7 @@
         if found.is_error():
             print(found.error, file=sys.stderr)
             return ExitCode.REFUSED
-        show(context, found.ok, printing.explanation_text)
+        print_result(context, found.ok, printing.explanation_text)
         return ExitCode.OK
 
 
@@ -246,8 +252,8 @@
     limit: Annotated[int, cappa.Arg(long=True)] = 20
 
     async def run(self, context: Context) -> ExitCode:
-        """Print version, time, author and note."""
-        show(context, await context.repository.history(self.limit), printing.history_text)
+        """Print the version, time, author and note of each revision."""
+        print_result(context, await context.repository.history(self.limit), printing.history_text)
         return ExitCode.OK
 
 
@@ -257,36 +263,36 @@
     """Put a past version in force again, as a new and higher version."""
 
     version: int
-    expected_version: Expected = 0
+    expected_version: ExpectedVersion = 0
     note: Note = ""
 
     async def run(self, context: Context) -> ExitCode:
-        """Write the past document on top of the expected version."""
+        """Write the past document as the version after the expected one."""
         signature = context.sign(self.note or f"rollback to {self.version}")
         result = await porcelain.rollback(
             context.repository, self.version, self.expected_version, signature
         )
-        return _accepted_or_not(context, result)
+        return _print_outcome(context, result)
 
 
 @cappa.command(epilog="Example: `briarspur trace 9c41d07be2a35f68 entry-*.log`")
 @dataclass
 class Trace:
-    """Tell the story of one request from log files, or from standard input."""
+    """Show the timeline of one request from log files, or from standard input."""
 
     request: str
     files: Annotated[list[str], cappa.Arg(default=[])] = field(default_factory=list)
 
     async def run(self, context: Context) -> ExitCode:
-        """Print what the processes did with the request, in order, with the gaps."""
+        """Print the request's log lines from all processes, ordered by time, and the gaps."""
         texts = [read_file(name).decode("utf-8", "replace") for name in self.files or ["-"]]
         lines = [line for text in texts for line in text.splitlines()]
         timeline = read_timeline(self.request, lines)
-        show(context, timeline, timeline_text)
+        print_result(context, timeline, timeline_text)
         return ExitCode.OK if timeline.lines else ExitCode.REFUSED
 
 
-Verb = (
+Command = (
     Check
     | Diff
     | Apply
@@ -305,16 +311,16 @@
 @cappa.command(name="briarspur")
 @dataclass
 class Briarspur:
-    """Steer traffic: write the policy, see it in force, drain servers, ask why."""
+    """Steer traffic: change the policy, watch it take effect, drain servers, explain routing."""
 
-    verb: cappa.Subcommands[Verb]
+    verb: cappa.Subcommands[Command]
     settings: Annotated[
         str | None,
         cappa.Arg(
             long=True,
             propagate=True,
             default=cappa.Env("BRIARSPUR_SETTINGS", default=None),
-            help="JSON file (or $BRIARSPUR_SETTINGS)",
+            help="settings file in JSON (or $BRIARSPUR_SETTINGS)",
         ),
     ] = None
     json: Annotated[bool, cappa.Arg(long=True, propagate=True, help="print JSON")] = False
@@ -335,7 +341,7 @@
     try:
         return run_once(lambda: _run(arguments))
     except BrokenPipeError:
-        return reader_gone()
+        return handle_broken_pipe()
     except DocumentError as error:
         print(error, file=sys.stderr)
         return ExitCode.INVALID
--- a/briarspur/clicontext.py
+++ b/briarspur/clicontext.py
@@ -1,4 +1,4 @@
-"""What a command needs: settings, store, entries, clock and the way it prints."""
+"""The context of a command: the store, the entries, the clock and the output format."""
 
 import asyncio
 import os
@@ -24,27 +24,35 @@
 from briarspur.repository import PolicyRepository
 from briarspur.settings import CliSettings, DaemonSettings
 
-__all__ = ["Context", "VmDirectory", "open_context", "read_file", "reader_gone", "show", "sign"]
+__all__ = [
+    "Context",
+    "VmDirectory",
+    "handle_broken_pipe",
+    "open_context",
+    "print_result",
+    "read_file",
+    "sign",
+]
 
-INTERVAL_S = 1.0
+POLL_INTERVAL_S = 1.0
 
 T = TypeVar("T")
 
 
 class VmDirectory:
-    """Entries' endpoints from the platform's list of VMs, which lags."""
+    """Gets the entries' endpoints from the platform's list of VMs, which may be stale."""
 
     def __init__(self, vms: VmList) -> None:
         self._vms = vms
 
     async def endpoints(self) -> list[Endpoint]:
-        """Return the endpoint of each VM on the list, the leaving ones too."""
+        """Return the endpoint of each VM on the list, including those that are leaving."""
         return [Endpoint(vm.vm_id, vm.host, vm.caller_port) for vm in await self._vms.read()]
 
 
 @dataclass(slots=True)
 class Context:
-    """What a command works with; ``interval`` seconds between two questions to the entries."""
+    """The context of a command; ``interval`` is in seconds between two queries to the entries."""
 
     json: bool
     author: str
@@ -52,37 +60,37 @@
     _directory: Directory | None = None
     _fetcher: Fetcher | None = None
     _store: ObjectStore | None = None
-    interval: float = INTERVAL_S
+    interval: float = POLL_INTERVAL_S
     now: Callable[[], float] = time.monotonic
     sleep: Callable[[float], "asyncio.Future[None]"] = field(default=asyncio.sleep)  # type: ignore[assignment]
 
     @property
     def repository(self) -> PolicyRepository:
-        """The policy's revisions."""
-        return _needed(self._repository)
+        """The repository of the policy's revisions."""
+        return _require(self._repository)
 
     @property
     def directory(self) -> Directory:
-        """Where the entries are."""
-        return _needed(self._directory)
+        """The list of the entries' endpoints."""
+        return _require(self._directory)
 
     @property
     def fetcher(self) -> Fetcher:
-        """How entries are asked."""
-        return _needed(self._fetcher)
+        """The client for HTTP queries to entries."""
+        return _require(self._fetcher)
 
     @property
     def store(self) -> ObjectStore:
-        """The platform's objects."""
-        return _needed(self._store)
+        """The platform's object store."""
+        return _require(self._store)
 
     def sign(self, note: str) -> Signature:
-        """Return a signature with a token that no other write has."""
+        """Return a signature by this author with a token that is unique to the write."""
         return sign(self.author, note)
 
 
 def sign(author: str, note: str) -> Signature:
-    """Return a signature made now, with a token that no other write has."""
+    """Return a signature with the current time and a token that is unique to the write."""
     written_at = datetime.now(UTC).isoformat(timespec="seconds")
     return Signature(uuid.uuid4().hex, author, note, written_at)
 
@@ -91,7 +99,10 @@
 async def open_context(
     settings: str | None, json: bool, author: str, model: type[DaemonSettings] = CliSettings
 ) -> AsyncIterator[Context]:
-    """Connect to the platform that the settings name; without settings, to nothing."""
+    """Connect to the platform named in the settings file.
+
+    Without settings, the context has no store and no entries; commands such as ``check`` need none.
+    """
     if settings is None:
         yield Context(json, author)
         return
@@ -105,7 +116,7 @@
 
 
 def read_file(path: str) -> bytes:
-    """Return a document's text; ``-`` reads standard input."""
+    """Return the content of a file; ``-`` reads standard input."""
     if path == "-":
         return sys.stdin.buffer.read()
     try:
@@ -115,19 +126,19 @@
         raise SettingsError(path, [Fault("(file)", str(error))]) from None
 
 
-def show(context: Context, result: T, text: Callable[[T], str]) -> None:
-    """Print a result as text, or as JSON if that was asked for."""
+def print_result(context: Context, result: T, text: Callable[[T], str]) -> None:
+    """Print a result as text, or as JSON if the context requests it."""
     print(to_json(result) if context.json else text(result), flush=True)
 
 
-def reader_gone() -> ExitCode:
-    """End quietly when what reads our output, such as ``head``, has ended before us."""
-    # Python flushes standard output at exit and would complain about the broken pipe again.
+def handle_broken_pipe() -> ExitCode:
+    """Suppress errors after the reader of standard output, such as ``head``, has exited."""
+    # Python flushes standard output at exit, which would report the broken pipe again.
     os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
     return ExitCode.FAILED
 
 
-def _needed(value: T | None) -> T:
+def _require(value: T | None) -> T:
     if value is None:
         fault = Fault("(file)", "give --settings FILE or set BRIARSPUR_SETTINGS")
         raise SettingsError("settings", [fault])
--- a/briarspur/printing.py
+++ b/briarspur/printing.py
@@ -1,4 +1,4 @@
-"""The text and JSON forms of what the operators' verbs return."""
+"""Format the results of the operators' commands as text or JSON."""
 
 import dataclasses
 import json
@@ -26,6 +26,7 @@
     "accepted_text",
     "check_text",
     "comparison_text",
+    "conflict_text",
     "diff_text",
     "drain_text",
     "explanation_text",
@@ -33,23 +34,26 @@
     "history_text",
     "jsonable",
     "lookup_text",
-    "race_text",
     "to_json",
 ]
 
 
 def to_json(value: Any) -> str:
-    """Return the JSON text of a result."""
+    """Return a result as JSON text."""
     return json.dumps(jsonable(value), ensure_ascii=False, indent=2)
 
 
 def jsonable(value: Any) -> Any:
-    """Return a result as JSON values; a missing side of a change is left out."""
+    """Return a result as JSON values.
+
+    Dataclasses become objects with their field names as keys. A change without a value before or
+    after it has no such key.
+    """
     if isinstance(value, BaseModel):
         return value.model_dump(mode="json")
     if isinstance(value, Change):
-        sides = {"before": value.before, "after": value.after}
-        present = {name: side for name, side in sides.items() if side is not MISSING}
+        values = {"before": value.before, "after": value.after}
+        present = {name: found for name, found in values.items() if found is not MISSING}
         return {"path": value.name, **present}
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         fields = dataclasses.fields(value)
@@ -66,14 +70,14 @@
 
 
 def check_text(report: CheckReport) -> str:
-    """Return the faults and warnings, one a line."""
+    """Return the faults and warnings, one per line."""
     lines = [f"fault: {fault}" for fault in report.faults]
     lines += [f"warning: {warning}" for warning in report.warnings]
     return "\n".join(lines) or "no fault, no warning"
 
 
 def diff_text(report: DiffReport) -> str:
-    """Return the changes against the version in force."""
+    """Return the changes from the version in force."""
     lines = [f"against version {report.version}:"]
     lines.append(format_changes(report.changes) or "no change")
     lines += [f"warning: {warning}" for warning in report.warnings]
@@ -81,7 +85,7 @@
 
 
 def accepted_text(accepted: Accepted) -> str:
-    """Return the version that is in force and what it changed."""
+    """Return the accepted version and its changes."""
     revision = accepted.revision
     lines = [f"version {revision.version} accepted (was {revision.previous})"]
     if revision.previous != ABSENT:
@@ -90,37 +94,39 @@
     return "\n".join(lines)
 
 
-def race_text(race: VersionConflict) -> str:
-    """Return whose edit is in force, and both edits side by side."""
-    if race.current is None:
-        return f"conflict: expected version {race.expected_version}, and there is no policy"
-    current = race.current
+def conflict_text(conflict: VersionConflict) -> str:
+    """Return the author of the version in force, and both edits."""
+    if conflict.current is None:
+        return f"conflict: expected version {conflict.expected_version}, and there is no policy"
+    current = conflict.current
     lines = [
-        f"conflict: expected version {race.expected_version}, "
+        f"conflict: expected version {conflict.expected_version}, "
         f"in force is {current.version} by {current.author or 'unknown'}: {current.note}",
         "nothing was changed",
     ]
-    if race.comparison is None:
-        lines.append(f"version {race.expected_version} is not kept: compare with `briarspur diff`")
+    if conflict.comparison is None:
+        lines.append(
+            f"version {conflict.expected_version} is not kept: compare with `briarspur diff`"
+        )
     else:
-        lines.append(comparison_text(race.comparison))
+        lines.append(comparison_text(conflict.comparison))
     return "\n".join(lines)
 
 
 def comparison_text(comparison: Comparison) -> str:
-    """Return both edits, then the paths at which they clash."""
+    """Return both edits, then the paths that both change differently."""
     lines = ["theirs:", format_changes(comparison.theirs) or "no change"]
     lines += ["yours:", format_changes(comparison.mine) or "no change"]
     for conflict in comparison.conflicts:
         lines.append(f"clash at {conflict.mine.name}")
         lines += [f"  theirs {conflict.theirs}", f"  yours  {conflict.mine}"]
     if not comparison.conflicts:
-        lines.append("the edits touch different paths: make yours again on the version in force")
+        lines.append("the edits change different paths: repeat yours on the version in force")
     return "\n".join(lines)
 
 
 def history_text(revisions: list[Revision]) -> str:
-    """Return one line for each revision."""
+    """Return one line per revision."""
     return "\n".join(
         f"{r.version}  {r.written_at or '-'}  {r.author or '-'}  {r.note}".rstrip()
         for r in revisions
@@ -128,9 +134,9 @@
 
 
 def fleet_text(fleet: FleetStatus) -> str:
-    """Return what all entries said."""
-    everywhere = "in force everywhere" if fleet.in_force_everywhere else "NOT in force everywhere"
-    lines = [f"version {fleet.expected_version}: {everywhere}"]
+    """Return the state of all entries."""
+    extent = "in force everywhere" if fleet.in_force_everywhere else "NOT in force everywhere"
+    lines = [f"version {fleet.expected_version}: {extent}"]
     for zone in fleet.zones_by_name.values():
         low, high = zone.lowest_version, zone.highest_version
         versions = str(low) if low == high else f"{low} to {high}"
@@ -149,19 +155,19 @@
 
 
 def drain_text(progress: DrainProgress) -> str:
-    """Return how far a drain is, in one line."""
+    """Return the progress of a drain in one line."""
     if progress.done:
         return f"{progress.target_id}: drained, nothing in flight"
     line = f"{progress.target_id}: {progress.in_flight} in flight"
     if progress.waiting_for:
-        reasons = "; ".join(f"{name} ({why})" for name, why in progress.waiting_for.items())
-        line += f"; not known of {reasons}"
+        reasons = "; ".join(f"{name} ({reason})" for name, reason in progress.waiting_for.items())
+        line += f"; unknown for {reasons}"
     return line
 
 
 def lookup_text(report: LookupReport) -> str:
-    """Return the answer a caller would get."""
-    lines = [f"not answering: {why}" for why in report.not_answering.values()]
+    """Return the answer that a caller would get and the reasons for it."""
+    lines = [f"not answering: {error}" for error in report.not_answering.values()]
     lines.append(f"answered by {report.asked}:")
     lines.append(json.dumps(report.answer, indent=2))
     lines += [f"why: {reason}" for reason in report.reasons]
@@ -169,7 +175,7 @@
 
 
 def explanation_text(found: Explanation) -> str:
-    """Return why a request goes where it goes."""
+    """Return the explanation of how a request is routed."""
     lines = [
         f"policy version {found.policy_version}",
         f"service {found.service}, rule {found.rule_index}: {found.notes[0]}",
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of the command line: exit codes and both forms of output."""
+"""Tests of the command line: exit codes, and output as text and as JSON."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 class CliTest(unittest.TestCase):
-    """Commands run whole over fakes of the store and the entries."""
+    """Whole commands run with a fake store and fake entries."""
 
     def setUp(self) -> None:
         self.store = FakeStore()
@@ -56,7 +56,7 @@
             code = cli.main(arguments)
         return code, out.getvalue()
 
-    def test_a_day_of_changes(self) -> None:
+    def test_apply_diff_rollback_history_and_show(self) -> None:
         self.assertEqual(self.run_command("apply", self.file)[0], ExitCode.OK)
         document = small_policy()
         document["caps"]["return"]["requests_per_window"] = 5
@@ -73,7 +73,7 @@
         code, text = self.run_command("show")
         self.assertEqual(json.loads(text[: text.rindex("}") + 1])["user"], "example")
 
-    def test_conflict_names_both_edits(self) -> None:
+    def test_a_conflict_shows_both_edits(self) -> None:
         self.run_command("apply", self.file)
         self.run_command("drain", "times-north-1")
         document = small_policy()
@@ -83,7 +83,7 @@
         self.assertEqual(code, ExitCode.CONFLICT)
         self.assertIn("clash at targets.times-north-1", text)
 
-    def test_exit_codes_of_failures(self) -> None:
+    def test_failures_have_their_exit_codes(self) -> None:
         self.assertEqual(self.run_command("lookup", "times")[0], ExitCode.NO_ENTRY)
         self.assertEqual(self.run_command("drain", "nobody")[0], ExitCode.REFUSED)
         self.assertEqual(self.run_command("explain", "GET", "/times")[0], ExitCode.REFUSED)
@@ -99,7 +99,7 @@
             self.run_command("nonsense")
         self.assertEqual(caught.exception.code, ExitCode.INVALID)
 
-    def test_a_wait_that_is_over_says_that_it_is_not_done(self) -> None:
+    def test_a_wait_that_times_out_exits_with_not_done(self) -> None:
         self.run_command("apply", self.file)
         code, text = self.run_command("status", "--wait", "5")
         self.assertEqual(code, ExitCode.NOT_DONE)
@@ -110,7 +110,7 @@
         code, text = self.run_command("drain", "times-north-1", "--wait", "5", "--json")
         self.assertEqual(code, ExitCode.OK)
 
-    def test_explain_before_applying(self) -> None:
+    def test_explain_uses_a_file_before_it_is_applied(self) -> None:
         arguments = ("explain", "POST", "/booking/x", "--file", self.file, "--json")
         code, text = self.run_command(*arguments)
         self.assertEqual(code, ExitCode.OK)
