--- a/tests/examples.py
+++ b/tests/examples.py
@@ -1,4 +1,4 @@
-"""Documents that tests share."""
+"""Example documents for tests."""
 
 from typing import Any
 
@@ -6,7 +6,15 @@
 
 
 def small_policy(targets: int = 2, entries: int = 2) -> dict[str, Any]:
-    """Return a policy of two regions, each with ``targets`` per service and ``entries``."""
+    """Return a policy with two regions.
+
+    Parameters
+    ----------
+    targets : int
+        Number of targets per service and region.
+    entries : int
+        Number of entries per region.
+    """
     regions = ("north", "south")
     document: dict[str, Any] = {
         "user": "example",
--- a/tests/test_operators_docs.py
+++ b/tests/test_operators_docs.py
@@ -1,4 +1,4 @@
-"""Tests that the operators' pages say what the programs take."""
+"""Tests that the commands and links on the operators' pages are valid."""
 
 import re
 import shlex
@@ -18,10 +18,10 @@
 
 
 class OperatorsDocsTest(unittest.TestCase):
-    """Commands parse, and links lead somewhere."""
+    """Commands are parsed by the command line, and links lead to files."""
 
-    def test_every_command_on_the_pages_is_taken(self) -> None:
-        seen = 0
+    def test_every_command_on_the_pages_is_valid(self) -> None:
+        command_count = 0
         for page in PAGES:
             text = page.read_text()
             fenced = [c for block in FENCED.findall(text) for c in COMMAND.findall(block)]
@@ -32,8 +32,8 @@
                 arguments = ["7" if word in ("N", "M", "S") else word for word in words]
                 with self.subTest(page=page.name, command=command):
                     cappa.parse(Briarspur, argv=arguments)
-                seen += 1
-        self.assertGreater(seen, 10)
+                command_count += 1
+        self.assertGreater(command_count, 10)
 
     def test_every_link_leads_to_a_file(self) -> None:
         for page in (*PAGES, DOCS / "GLOSSARY.md", DOCS / "HOUSE-STYLE.md"):
--- a/tests/test_operators_story.py
+++ b/tests/test_operators_scenario.py
@@ -1,4 +1,7 @@
-"""The operators' programs as real processes: platform stand-in, console, command line, report."""
+"""Tests of the operators' programs as processes: console, command line and error budget report.
+
+They run against the platform's stand-in.
+"""
 
 import html
 import json
@@ -20,11 +23,11 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 TOKEN = "0123456789abcdef"
-PATIENCE_S = 30.0
+STARTUP_TIMEOUT_S = 30.0
 
 
-class OperatorsStoryTest(unittest.TestCase):
-    """An operator writes a policy by the command line, changes it by form, and rolls it back."""
+class OperatorsScenarioTest(unittest.TestCase):
+    """An operator applies a policy by command line, edits it in the console and rolls it back."""
 
     def setUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
@@ -66,14 +69,14 @@
         if fields:
             request.data = urllib.parse.urlencode(fields).encode()
         try:
-            answer = urllib.request.urlopen(request, timeout=10)
+            response = urllib.request.urlopen(request, timeout=10)
         except urllib.error.HTTPError as error:
-            answer = error
-        self.cookie = (answer.headers.get("Set-Cookie") or self.cookie).split(";")[0]
-        return str(answer.read().decode())
+            response = error
+        self.cookie = (response.headers.get("Set-Cookie") or self.cookie).split(";")[0]
+        return str(response.read().decode())
 
-    def until(self, path: str) -> str:
-        deadline = time.monotonic() + PATIENCE_S
+    def wait_for_page(self, path: str) -> str:
+        deadline = time.monotonic() + STARTUP_TIMEOUT_S
         while True:
             try:
                 page = self.open(path)
@@ -81,21 +84,21 @@
                     return page
             except OSError:
                 pass
-            self.assertLess(time.monotonic(), deadline, "the console did not begin to answer")
+            self.assertLess(time.monotonic(), deadline, "the console did not start to answer")
             time.sleep(0.1)
 
-    def hidden(self, page: str) -> dict[str, str]:
+    def hidden_fields(self, page: str) -> dict[str, str]:
         found = re.findall(r'type="hidden" name="(\w+)" value="([^"]*)"', page)
         return {name: html.unescape(value) for name, value in found}
 
-    def test_from_file_to_form_to_rollback(self) -> None:
-        self.assertIn("No policy is in force", self.until("/"))
+    def test_apply_then_edit_in_the_console_then_rollback(self) -> None:
+        self.assertIn("No policy is in force", self.wait_for_page("/"))
         self.assertEqual(self.briarspur("apply", self.file)[0], 0)
-        form = self.hidden(self.open("/edit"))
-        typed = {"services.times.objective.latency_ms": "400", "action": "review"}
-        review = self.open("/edit", **form, **typed)
+        form = self.hidden_fields(self.open("/edit"))
+        edits = {"services.times.objective.latency_ms": "400", "action": "review"}
+        review = self.open("/edit", **form, **edits)
         self.assertIn("500 -&gt; 400", review)
-        accept = {**self.hidden(review), "note": "tighter", "token": TOKEN}
+        accept = {**self.hidden_fields(review), "note": "tighter", "token": TOKEN}
         self.assertIn("is accepted", self.open("/accept", **accept))
         self.assertIn("Conflict", self.open("/accept", **accept))
         first, second = self.versions()
