--- a/briarspur/clicontext.py
+++ b/briarspur/clicontext.py
@@ -140,6 +140,6 @@
 
 def _require(value: T | None) -> T:
     if value is None:
-        fault = Fault("(file)", "give --settings FILE or set BRIARSPUR_SETTINGS")
+        fault = Fault("(file)", "pass --settings FILE or set BRIARSPUR_SETTINGS")
         raise SettingsError("settings", [fault])
     return value
