--- a/briarspur/consolepages.py
+++ b/briarspur/consolepages.py
@@ -24,10 +24,10 @@
     parse_draft,
     section_of,
 )
-from briarspur.lint import warnings_of
-from briarspur.operators import FormGuard, OperatorTokens
+from briarspur.lint import find_warnings
+from briarspur.operators import CsrfGuard, OperatorTokens
 from briarspur.policy import PolicyDocument, parse_policy
-from briarspur.porcelain import Race
+from briarspur.porcelain import VersionConflict
 from briarspur.repository import PolicyRepository
 from briarspur.revision import MAX_NOTE_LENGTH
 from briarspur.serviceview import ServiceView
@@ -89,7 +89,7 @@
         repository: PolicyRepository,
         view: ServiceView,
         tokens: OperatorTokens,
-        guard: FormGuard,
+        guard: CsrfGuard,
     ) -> None:
         self._repository = repository
         self._view = view
@@ -256,7 +256,7 @@
             current=current,
             base=base,
             changes=difference(before, whole),
-            warnings=warnings_of(document),
+            warnings=find_warnings(document),
             whole=json.dumps(whole, indent=2, ensure_ascii=False),
             document=json.dumps(whole),
             note=note,
@@ -267,7 +267,7 @@
         """Make the reviewed document the policy in force, if its author may and nobody raced."""
         document = parse_policy(asked.get("document"), "draft")
         base = int(asked.get("base")) if asked.get("base").isdecimal() else ABSENT
-        name = self._tokens.name_of(asked.get("token"))
+        name = self._tokens.find_operator(asked.get("token"))
         if name is None:
             logs.event("change-refused", logging.WARNING, reason="no operator's token")
             fault = "The operator's token is wrong."
@@ -287,7 +287,7 @@
         )
         return self._render(asked, OK, "accepted.html", accepted=accepted)
 
-    def _conflict(self, asked: Asked, document: PolicyDocument, race: Race) -> Page:
+    def _conflict(self, asked: Asked, document: PolicyDocument, race: VersionConflict) -> Page:
         """Show both edits; the author's whole document stays in the form."""
         mine = porcelain.as_json(document)
         theirs = porcelain.as_json(race.current.document) if race.current else {}
@@ -326,7 +326,7 @@
         current = await self._repository.current()
         theirs = porcelain.as_json(current.document) if current else {}
         comparison = await self._comparison(asked, mine, theirs)
-        return self._conflict(asked, document, Race(expected, current, comparison))
+        return self._conflict(asked, document, VersionConflict(expected, current, comparison))
 
     async def _comparison(self, asked: Asked, mine: Draft, theirs: Draft) -> Comparison:
         version = asked.get("base")
