--- a/briarspur/consolepages.py
+++ b/briarspur/consolepages.py
@@ -20,7 +20,7 @@
     apply_fields,
     choose_groups,
     fields_of,
-    located,
+    locate_faults,
     parse_draft,
     section_of,
 )
@@ -238,7 +238,7 @@
         """Show the whole document and its difference, or each fault at its field."""
         report = porcelain.check(json.dumps(editing.draft))
         if report.document is None:
-            faults = located(report.faults)
+            faults = locate_faults(report.faults)
             first = _Editing(editing.draft, editing.base, section_of(faults[0].path))
             return self._form(asked, first, faults)
         return await self._show_review(asked, report.document, editing.base, note)
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -1,4 +1,4 @@
-"""Tests of drafts: fields, additions and the place of each fault."""
+"""Tests of forms over a draft: fields, additions, removals and the paths of faults."""
 
 import json
 import unittest
@@ -15,7 +15,7 @@
     apply_fields,
     choose_groups,
     fields_of,
-    located,
+    locate_faults,
     parse_draft,
 )
 from briarspur.policy import parse_policy
@@ -28,20 +28,20 @@
 
 
 def fault_paths(document: dict[str, Any]) -> list[str]:
-    return [fault.path for fault in located(check(json.dumps(document)).faults)]
+    return [fault.path for fault in locate_faults(check(json.dumps(document)).faults)]
 
 
 class FormsTest(unittest.TestCase):
-    """What is typed is kept, read where it can be, and refused at its field where not."""
+    """Input is parsed by field kind; input that cannot be parsed is kept and reported."""
 
-    def test_a_form_sent_back_untouched_changes_nothing(self) -> None:
+    def test_submitting_an_unchanged_form_changes_nothing(self) -> None:
         for section in SECTIONS:
             groups = fields_of(draft(), section)
-            typed = {f.path: f.text for fields in groups.values() for f in fields}
-            self.assertEqual(apply_fields(draft(), typed), draft())
+            submitted = {f.path: f.text for fields in groups.values() for f in fields}
+            self.assertEqual(apply_fields(draft(), submitted), draft())
 
-    def test_typed_values_are_read_by_kind(self) -> None:
-        typed = {
+    def test_submitted_values_are_parsed_by_field_kind(self) -> None:
+        submitted = {
             "services.times.rules.0.methods": "GET, POST",
             "services.times.rules.0.deadline_ms": " 900 ",
             "regions.north.link_small_share": "0.5",
@@ -49,23 +49,23 @@
             "services.times.split": "north: north 0.75, south 0.25\r\n",
             "blocks.by_prefix": "10.2.0.0/16 south\r\n10.3.0.0/16 north\r\n",
         }
-        changed = apply_fields(draft(), typed)
+        changed = apply_fields(draft(), submitted)
         rule = changed["services"]["times"]["rules"][0]
         self.assertEqual((rule["methods"], rule["deadline_ms"]), (["GET", "POST"], 900))
         self.assertEqual(len(changed["blocks"]["by_prefix"]), 2)
         split = {"north": {"north": 0.75, "south": 0.25}}
         self.assertEqual(changed["services"]["times"]["split"], split)
-        self.assertEqual(apply_fields(changed, typed), changed)
+        self.assertEqual(apply_fields(changed, submitted), changed)
         self.assertEqual(fault_paths(changed), [])
 
-    def test_each_fault_is_at_its_field_and_what_was_typed_is_kept(self) -> None:
-        typed = {
+    def test_each_fault_names_its_field_and_invalid_input_is_kept(self) -> None:
+        submitted = {
             "services.times.rules.0.deadline_ms": "soon",
             "regions.north.in_flight_limit": "-3",
             "blocks.by_prefix": "10.2.0.0/16",
             "services.booking.split": "north: south half",
         }
-        changed = apply_fields(draft(), typed)
+        changed = apply_fields(draft(), submitted)
         expected = [
             "regions.north.in_flight_limit",
             "services.times.rules.0.deadline_ms",
@@ -78,14 +78,14 @@
         }
         self.assertEqual(texts["services.times.rules.0.deadline_ms"], "soon")
 
-    def test_a_fault_of_the_whole_is_put_at_the_field_it_names(self) -> None:
+    def test_a_fault_of_the_whole_document_is_moved_to_the_field_it_names(self) -> None:
         changed = apply_fields(draft(), {"targets.times-north-1.zone": "nowhere"})
         self.assertEqual(fault_paths(changed), ["targets.times-north-1.zone"])
 
-    def test_a_large_section_is_shown_in_part_and_its_faults_always(self) -> None:
+    def test_a_large_section_is_truncated_but_groups_with_faults_are_shown(self) -> None:
         groups = fields_of(draft(), Section.TARGETS)
-        faulty = ["targets.times-south-2.port"]
-        shown = choose_groups(groups, faulty, "booking", 3)
+        paths = ["targets.times-south-2.port"]
+        shown = choose_groups(groups, paths, "booking", 3)
         self.assertEqual(next(iter(shown)), "targets.times-south-2")
         self.assertEqual(len(shown), 3)
         self.assertEqual(list(choose_groups(groups, [], "9111", 9)), ["targets.booking-south-2"])
@@ -103,19 +103,19 @@
 
 
 class AnyDraftTest(unittest.TestCase):
-    """A browser can send any text as a draft; the forms show it or refuse it, and never break."""
+    """A browser can submit any text as a draft; the forms show or reject it without an error."""
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=300)
     @given(st.dictionaries(st.sampled_from(ROOTS), VALUES), st.sampled_from(ROOTS))
-    def test_any_draft_is_shown_or_refused(self, document: dict[str, Any], root: str) -> None:
+    def test_any_draft_is_shown_or_rejected(self, document: dict[str, Any], root: str) -> None:
         try:
             draft = parse_draft(json.dumps(document))
         except DocumentError:
             return
         for section in SECTIONS:
             groups = fields_of(draft, section)
-            typed = {f.path: "7" for fields in groups.values() for f in fields}
-            located(check(json.dumps(apply_fields(draft, typed))).faults)
+            submitted = {f.path: "7" for fields in groups.values() for f in fields}
+            locate_faults(check(json.dumps(apply_fields(draft, submitted))).faults)
         for path in (root, f"{root}.times", f"{root}.times.rules", f"{root}.times.rules.0"):
             for operation in (remove, move_rule_up):
                 operation(draft, path)
@@ -123,9 +123,9 @@
 
 
 class EditsTest(unittest.TestCase):
-    """Adding and removing."""
+    """Adding, moving and removing objects and rules."""
 
-    def test_objects_and_rules_come_and_go(self) -> None:
+    def test_objects_and_rules_are_added_moved_and_removed(self) -> None:
         changed = add(draft(), "services", "fares").ok
         changed = add(changed, "services.fares.rules", "").ok
         changed["services"]["fares"]["rules"][1]["path"] = "/x"
@@ -138,7 +138,7 @@
         for root in ("regions", "targets", "entries"):
             self.assertIn("new-1", add(draft(), root, "new-1").ok[root])
 
-    def test_what_makes_no_sense_is_refused(self) -> None:
+    def test_invalid_operations_are_rejected(self) -> None:
         for root, name in (
             ("services", "times"),
             ("services", "a.b"),
