--- a/briarspur/consolepages.py
+++ b/briarspur/consolepages.py
@@ -149,22 +149,22 @@
 
     async def _overview(self, asked: Asked) -> Page:
         current = await self._repository.current()
-        burns = await self._view.burns() if current else None
+        burns = await self._view.severity_by_service() if current else None
         return self._render(asked, OK, "overview.html", current=current, burns=burns)
 
     async def _service(self, asked: Asked) -> Page:
-        found = await self._view.service(asked.path.removeprefix("/services/"))
+        found = await self._view.page_values(asked.path.removeprefix("/services/"))
         if found is None:
             return self._message(asked, NOT_FOUND, "There is no such service.")
         return self._render(asked, OK, "service.html", **found)
 
     async def _status(self, asked: Asked) -> Page:
-        fleet = await self._view.fleet()
+        fleet = await self._view.fleet_status()
         return self._render(asked, OK, "status.html", fleet=fleet)
 
     async def _drains(self, asked: Asked) -> Page:
         current = await self._repository.current()
-        fleet = await self._view.fleet()
+        fleet = await self._view.fleet_status()
         return self._render(asked, OK, "drains.html", current=current, fleet=fleet)
 
     async def _history(self, asked: Asked) -> Page:
--- a/briarspur/pages.py
+++ b/briarspur/pages.py
@@ -1,4 +1,7 @@
-"""Pages from the templates of this package; every value is escaped unless it is a plot of ours."""
+"""Render the HTML templates of this package.
+
+Every value is escaped, except the SVG plots that this package makes.
+"""
 
 import time
 from functools import cache
@@ -10,7 +13,7 @@
 
 
 def render(template: str, **values: Any) -> str:
-    """Return a page."""
+    """Render a template of this package with the given values."""
     return _environment().get_template(template).render(**values)
 
 
--- a/briarspur/serviceview.py
+++ b/briarspur/serviceview.py
@@ -1,4 +1,4 @@
-"""What the console shows of services: burn, split planned and now, headroom, drains."""
+"""Collect the data of service pages: burn rate, planned and current split, headroom, drains."""
 
 import re
 from collections.abc import Callable
@@ -24,20 +24,20 @@
 
 __all__ = ["RegionView", "ServiceView"]
 
-SEPARATORS = re.compile(r"[/.]")
-"""Between the parts of a budget's name, one of which is the region."""
+BUDGET_NAME_SEPARATORS = re.compile(r"[/.]")
+"""Separate the parts of a budget's name, one of which is the region."""
 
 
 @dataclass(frozen=True, slots=True)
 class RegionView:
-    """One region of a service.
+    """A region of a service.
 
     Attributes
     ----------
     share_now : float or None
-        Part of the answers of the last five minutes; None if nothing was counted.
+        Share of the responses of the last five minutes; None if there were none.
     budgets : tuple of BudgetStatus
-        What entries have left of the region's limits.
+        What is left of the region's limits at the entries.
     """
 
     region: str
@@ -49,7 +49,7 @@
 
 
 class ServiceView:
-    """Gathers from the policy, the stored service levels and the entries."""
+    """Combines data from the policy, the stored service levels and the entries."""
 
     def __init__(
         self,
@@ -57,93 +57,101 @@
         store: ObjectStore,
         directory: Directory,
         fetcher: Fetcher,
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
     ) -> None:
         self._repository = repository
         self._store = store
         self._history = LevelHistory(store)
         self._directory = directory
         self._fetcher = fetcher
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._series_by_service: dict[str, tuple[int, LevelSeries]] = {}
 
-    async def fleet(self) -> FleetStatus:
-        """Return what all entries say."""
+    async def fleet_status(self) -> FleetStatus:
+        """Return the combined status of all entries."""
         return await porcelain.status(self._repository, self._directory, self._fetcher)
 
-    async def burns(self) -> dict[str, Severity]:
-        """Return each service's severity; none if the history cannot be read."""
+    async def severity_by_service(self) -> dict[str, Severity]:
+        """Return the burn severity by service; empty if the history cannot be read."""
         current = await self._repository.current()
         services = current.document.services if current else {}
         try:
-            reports = [await self._report(name) for name in services]
+            reports = [await self._make_report(name) for name in services]
         except (StoreError, DocumentError):
             return {}
-        return {found.burn.service: found.burn.severity for found in reports if found}
+        return {report.burn.service: report.burn.severity for report in reports if report}
 
-    async def service(self, name: str) -> dict[str, Any] | None:
-        """Return the values of a service's page; None if there is no such service."""
+    async def page_values(self, name: str) -> dict[str, Any] | None:
+        """Return the template values of a service's page; None if there is no such service."""
         current = await self._repository.current()
         if current is None or name not in current.document.services:
             return None
         policy = compile_policy(current.document, current.version)
-        report = await self._report(name)
-        fleet = await self.fleet()
+        report = await self._make_report(name)
+        fleet = await self.fleet_status()
         plan = await read_plan(self._store)
-        shares = split_now((await self._series(name)).slots, self._wall())
+        shares = split_now((await self._read_series(name)).slots, self._wall_clock())
         return {
             "name": name,
             "policy_version": policy.version,
             "service": policy.services_by_name[name],
             "plan": plan,
-            "planned": _planned(policy, name, plan),
-            "regions": [_region(policy, name, r, shares, fleet) for r in policy.regions_by_name],
+            "planned": _regions_by_home(policy, name, plan),
+            "regions": [
+                _make_region_view(policy, name, r, shares, fleet) for r in policy.regions_by_name
+            ],
             "fleet": fleet,
             "report": report,
             "plots": burnreport.plots_of(report) if report else {},
             "rule_text": burnreport.rule_text,
         }
 
-    async def _report(self, name: str) -> ServiceReport | None:
+    async def _make_report(self, name: str) -> ServiceReport | None:
         current = await self._repository.current()
         if current is None or name not in current.document.services:
             return None
         policy = compile_policy(current.document, current.version)
         objectives = {name: policy.services_by_name[name].objective}
-        series = {name: await self._series(name)}
-        report = burnreport.make_report(policy.user, objectives, series, self._wall())
+        series = {name: await self._read_series(name)}
+        report = burnreport.make_report(policy.user, objectives, series, self._wall_clock())
         return report.services[0]
 
-    async def _series(self, name: str) -> LevelSeries:
-        """Return a service's levels, read at most once a minute: a reading is 73 calls."""
-        minute = int(self._wall() // SLOT_S)
-        found = self._series_by_service.get(name)
-        if found is None or found[0] != minute:
-            found = (minute, await self._history.read(name, self._wall()))
-            self._series_by_service[name] = found
-        return found[1]
+    async def _read_series(self, name: str) -> LevelSeries:
+        """Return a service's levels; cached for a minute, as a read takes 73 calls."""
+        minute = int(self._wall_clock() // SLOT_S)
+        cached = self._series_by_service.get(name)
+        if cached is None or cached[0] != minute:
+            cached = (minute, await self._history.read(name, self._wall_clock()))
+            self._series_by_service[name] = cached
+        return cached[1]
 
 
-def _planned(
+def _regions_by_home(
     policy: Policy, service: str, plan: PlanDocument | None
 ) -> dict[str, tuple[RegionChoice, ...]]:
-    """Return by home region the order of regions that plan and policy give."""
-    found = policy.services_by_name[service]
+    """Return the order of regions under the plan and the policy, by home region."""
+    service_policy = policy.services_by_name[service]
     splits = plan.as_splits() if plan else None
-    return {home: region_order(policy, found, home, splits) for home in policy.regions_by_name}
+    return {
+        home: region_order(policy, service_policy, home, splits) for home in policy.regions_by_name
+    }
 
 
-def _region(
+def _make_region_view(
     policy: Policy, service: str, region: str, shares: dict[str, float], fleet: FleetStatus
 ) -> RegionView:
     targets = policy.targets_of(service, region)
-    staying = [target for target in targets if target.state is not TargetState.LEAVING]
-    budgets = [b for name, b in fleet.budgets_by_name.items() if region in SEPARATORS.split(name)]
+    not_leaving = [target for target in targets if target.state is not TargetState.LEAVING]
+    budgets = [
+        b
+        for name, b in fleet.budgets_by_name.items()
+        if region in BUDGET_NAME_SEPARATORS.split(name)
+    ]
     return RegionView(
         region=region,
-        targets=len(staying),
-        leaving=len(targets) - len(staying),
-        slots=sum(target.slots for target in staying),
+        targets=len(not_leaving),
+        leaving=len(targets) - len(not_leaving),
+        slots=sum(target.slots for target in not_leaving),
         share_now=shares.get(region, 0.0) if shares else None,
         budgets=tuple(budgets),
     )
