--- a/briarspur/console.py
+++ b/briarspur/console.py
@@ -1,4 +1,4 @@
-"""The program ``briarspur-console``: operators' forms that make one checked document."""
+"""The program ``briarspur-console``: web forms to edit and check the policy document."""
 
 import sys
 import time
@@ -20,11 +20,11 @@
 
 __all__ = ["ConsoleDaemon", "main"]
 
-BACKLOG = 50
+LISTEN_BACKLOG = 50
 
 
 class ConsoleDaemon:
-    """Listens for operators' browsers; loopback unless the settings say otherwise."""
+    """Serves operators' browsers, on loopback unless the settings name another address."""
 
     def __init__(self, settings: ConsoleSettings) -> None:
         from twisted.internet import reactor
@@ -36,7 +36,7 @@
         self._port: Any = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         settings = self._settings
         repository = PolicyRepository(self._store)
         view = ServiceView(
@@ -49,15 +49,15 @@
         guard = FormGuard()
         console = Console(repository, view, OperatorTokens(settings.token_file), guard)
         site = ConsoleSite(console, guard, settings.host, settings.form_bytes)
-        self._port = self._reactor.listenTCP(settings.port, site, BACKLOG, settings.host)
+        self._port = self._reactor.listenTCP(settings.port, site, LISTEN_BACKLOG, settings.host)
 
     @property
     def port(self) -> int:
-        """The port it listens on."""
+        """Port that the console listens on."""
         return int(self._port.getHost().port)
 
     async def stop(self) -> None:
-        """Take no new connections; operators' drafts are in their browsers."""
+        """Stop listening and close the store; drafts stay in the operators' browsers."""
         if self._port is not None:
             self._port.stopListening()
         await self._store.close()
--- a/briarspur/consolepages.py
+++ b/briarspur/consolepages.py
@@ -1,4 +1,4 @@
-"""The console's pages: what each shows and what each form does; knows nothing of HTTP's bytes."""
+"""Pages and form actions of the console, independent of the HTTP server."""
 
 import json
 import logging
@@ -32,10 +32,10 @@
 from briarspur.revision import MAX_NOTE
 from briarspur.serviceview import ServiceView
 
-__all__ = ["Asked", "Console", "Page"]
+__all__ = ["Console", "Page", "PageRequest"]
 
-HISTORY_SHOWN = 50
-GROUPS_SHOWN = 100
+MAX_REVISIONS_SHOWN = 50
+MAX_GROUPS_SHOWN = 100
 
 OK = 200
 FORBIDDEN = 403
@@ -46,8 +46,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """A request to the console; ``fields`` are those of the form or of the query."""
+class PageRequest:
+    """A request to the console; ``fields`` come from the form body or the query string."""
 
     method: str
     path: str
@@ -55,21 +55,21 @@
     fields: Mapping[str, str] = field(default_factory=dict)
 
     def get(self, name: str) -> str:
-        """Return a field, empty if it was not sent."""
+        """Return a field, or an empty string if it was not sent."""
         return self.fields.get(name, "")
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """An answer of the console."""
+    """A response of the console."""
 
     status: int
     html: str
 
 
 @dataclass(frozen=True, slots=True)
-class _Editing:
-    """A draft with the version it was made from."""
+class _EditState:
+    """A draft, the version it is based on, and what the form shows of it."""
 
     draft: Draft
     base: int
@@ -78,10 +78,10 @@
 
 
 class Console:
-    """Answers the console's requests; keeps no state of its own between them.
+    """Handles the console's requests without state between them.
 
-    A draft travels in the form itself, so a console that is restarted, or another one, goes on
-    with it.
+    The form itself carries the draft, so it survives a restart of the console and can be submitted
+    to another console.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         self._view = view
         self._tokens = tokens
         self._guard = guard
-        self._handlers: dict[tuple[str, str], Callable[[Asked], Awaitable[Page]]] = {
+        self._handlers: dict[tuple[str, str], Callable[[PageRequest], Awaitable[Page]]] = {
             ("GET", "/"): self._overview,
             ("GET", "/edit"): self._begin_edit,
             ("POST", "/edit"): self._edit,
@@ -108,149 +108,157 @@
             ("GET", "/history"): self._history,
         }
 
-    async def answer(self, asked: Asked) -> Page:
-        """Return the page for a request."""
-        handler = self._handlers.get((asked.method, asked.path))
-        if handler is None and asked.method == "GET" and asked.path.startswith("/services/"):
+    async def handle(self, request: PageRequest) -> Page:
+        """Return the page that responds to a request."""
+        handler = self._handlers.get((request.method, request.path))
+        if handler is None and request.method == "GET" and request.path.startswith("/services/"):
             handler = self._service
         if handler is None:
-            return self._message(asked, NOT_FOUND, "There is no such page.")
-        if asked.method == "POST" and not self._guard.accepts(asked.session, asked.get("guard")):
+            return self._render_message(request, NOT_FOUND, "Page not found.")
+        if request.method == "POST" and not self._guard.accepts(
+            request.session, request.get("guard")
+        ):
             logs.event("change-refused", logging.WARNING, reason="form of another session")
-            text = "This form is not of your session. Nothing was changed; your draft is below."
-            return self._message(asked, FORBIDDEN, text, asked.get("document"))
+            text = "This form belongs to another session. Nothing was changed; your draft is below."
+            return self._render_message(request, FORBIDDEN, text, request.get("document"))
         try:
-            return await handler(asked)
+            return await handler(request)
         except StoreUnclearError as error:
-            text = f"It is not known whether the change is in force: {error}. See the history."
-            return self._message(asked, UNAVAILABLE, text, asked.get("document"))
+            text = f"The change may or may not be in force: {error}. See the history."
+            return self._render_message(request, UNAVAILABLE, text, request.get("document"))
         except StoreUnavailableError as error:
             text = f"The store is unavailable: {error}. Nothing was changed."
-            return self._message(asked, UNAVAILABLE, text, asked.get("document"))
+            return self._render_message(request, UNAVAILABLE, text, request.get("document"))
         except DocumentError as error:
-            return self._message(asked, UNPROCESSABLE, str(error), asked.get("document"))
+            return self._render_message(request, UNPROCESSABLE, str(error), request.get("document"))
         except StoreError as error:
-            return self._message(asked, UNAVAILABLE, str(error), asked.get("document"))
+            return self._render_message(request, UNAVAILABLE, str(error), request.get("document"))
 
-    def _render(self, asked: Asked, status: int, template: str, **values: Any) -> Page:
-        guard = self._guard.field_for(asked.session)
+    def _render(self, request: PageRequest, status: int, template: str, **values: Any) -> Page:
+        guard = self._guard.field_for(request.session)
         return Page(status, pages.render(template, guard=guard, **values))
 
-    def _message(self, asked: Asked, status: int, text: str, draft: str = "") -> Page:
-        return self._render(asked, status, "message.html", text=text, draft=draft)
+    def _render_message(
+        self, request: PageRequest, status: int, text: str, draft: str = ""
+    ) -> Page:
+        return self._render(request, status, "message.html", text=text, draft=draft)
 
-    async def _health(self, asked: Asked) -> Page:
+    async def _health(self, request: PageRequest) -> Page:
         return Page(OK, "ok\n")
 
-    async def _readiness(self, asked: Asked) -> Page:
-        """Say whether the store answers; a store that does not is answered by ``answer``."""
+    async def _readiness(self, request: PageRequest) -> Page:
+        """Return ok if the store responds; ``handle`` turns a store error into an error page."""
         await self._repository.current()
         return Page(OK, "ok\n")
 
-    async def _overview(self, asked: Asked) -> Page:
+    async def _overview(self, request: PageRequest) -> Page:
         current = await self._repository.current()
         burns = await self._view.severity_by_service() if current else None
-        return self._render(asked, OK, "overview.html", current=current, burns=burns)
+        return self._render(request, OK, "overview.html", current=current, burns=burns)
 
-    async def _service(self, asked: Asked) -> Page:
-        found = await self._view.page_values(asked.path.removeprefix("/services/"))
-        if found is None:
-            return self._message(asked, NOT_FOUND, "There is no such service.")
-        return self._render(asked, OK, "service.html", **found)
+    async def _service(self, request: PageRequest) -> Page:
+        values = await self._view.page_values(request.path.removeprefix("/services/"))
+        if values is None:
+            return self._render_message(request, NOT_FOUND, "Service not found.")
+        return self._render(request, OK, "service.html", **values)
 
-    async def _status(self, asked: Asked) -> Page:
+    async def _status(self, request: PageRequest) -> Page:
         fleet = await self._view.fleet_status()
-        return self._render(asked, OK, "status.html", fleet=fleet)
+        return self._render(request, OK, "status.html", fleet=fleet)
 
-    async def _drains(self, asked: Asked) -> Page:
+    async def _drains(self, request: PageRequest) -> Page:
         current = await self._repository.current()
         fleet = await self._view.fleet_status()
-        return self._render(asked, OK, "drains.html", current=current, fleet=fleet)
+        return self._render(request, OK, "drains.html", current=current, fleet=fleet)
 
-    async def _history(self, asked: Asked) -> Page:
-        revisions = await self._repository.history(HISTORY_SHOWN)
-        return self._render(asked, OK, "history.html", revisions=revisions)
+    async def _history(self, request: PageRequest) -> Page:
+        revisions = await self._repository.history(MAX_REVISIONS_SHOWN)
+        return self._render(request, OK, "history.html", revisions=revisions)
 
-    async def _begin_edit(self, asked: Asked) -> Page:
-        editing = await self._in_force()
-        return self._form(asked, editing)
+    async def _begin_edit(self, request: PageRequest) -> Page:
+        editing = await self._edit_policy_in_force()
+        return self._render_form(request, editing)
 
-    async def _in_force(self) -> _Editing:
+    async def _edit_policy_in_force(self) -> _EditState:
         current = await self._repository.current()
         draft = porcelain.as_json(current.document) if current else {}
-        return _Editing(draft, current.version if current else ABSENT)
-
-    async def _edit(self, asked: Asked) -> Page:
-        """Take the typed fields into the draft, then do what the pressed button says."""
-        editing = await self._draft_of(asked)
-        verb, _, argument = asked.get("action").partition(":")
-        if verb == "review":
-            return await self._review(asked, editing, asked.get("note"))
-        if verb == "state":
+        return _EditState(draft, current.version if current else ABSENT)
+
+    async def _edit(self, request: PageRequest) -> Page:
+        """Apply the submitted fields to the draft, then run the action of the pressed button."""
+        editing = await self._read_edit(request)
+        action, _, argument = request.get("action").partition(":")
+        if action == "review":
+            return await self._review(request, editing, request.get("note"))
+        if action == "state":
             return await self._review(
-                asked, _with_state(editing, argument), argument.replace(":", " ")
+                request, _with_target_state(editing, argument), argument.replace(":", " ")
             )
-        if verb == "rollback":
+        if action == "rollback":
             past = await self._repository.revision(int(argument) if argument.isdecimal() else 0)
             if past is None:
-                return self._message(asked, NOT_FOUND, "That version is not in the history.")
-            back = _Editing(porcelain.as_json(past.document), editing.base)
-            return await self._review(asked, back, f"rollback to {past.version}")
-        return self._form(asked, _edited(editing, verb, argument, asked))
-
-    async def _draft_of(self, asked: Asked) -> _Editing:
-        if not asked.get("document"):
-            return await self._in_force()
-        base = int(asked.get("base")) if asked.get("base").isdecimal() else ABSENT
-        draft = apply_fields(parse_draft(asked.get("document")), asked.fields)
-        name = asked.get("section")
+                return self._render_message(
+                    request, NOT_FOUND, "That version is not in the history."
+                )
+            restored = _EditState(porcelain.as_json(past.document), editing.base)
+            return await self._review(request, restored, f"rollback to {past.version}")
+        return self._render_form(request, _apply_action(editing, action, argument, request))
+
+    async def _read_edit(self, request: PageRequest) -> _EditState:
+        if not request.get("document"):
+            return await self._edit_policy_in_force()
+        base = int(request.get("base")) if request.get("base").isdecimal() else ABSENT
+        draft = apply_fields(parse_draft(request.get("document")), request.fields)
+        name = request.get("section")
         section = Section[name] if name in Section.__members__ else Section.SERVICES
-        if not asked.get("text"):
-            return _Editing(draft, base, section)
+        if not request.get("text"):
+            return _EditState(draft, base, section)
         try:
-            return _Editing(parse_draft(asked.get("text")), base, section)
+            return _EditState(parse_draft(request.get("text")), base, section)
         except DocumentError as error:
-            return _Editing(draft, base, section, f"the text was not taken: {error}")
+            return _EditState(draft, base, section, f"the text was rejected: {error}")
 
-    def _form(self, asked: Asked, editing: _Editing, faults: list[Fault] | None = None) -> Page:
-        found = faults if faults is not None else []
+    def _render_form(
+        self, request: PageRequest, editing: _EditState, faults: list[Fault] | None = None
+    ) -> Page:
+        form_faults = faults if faults is not None else []
         messages_by_path: dict[str, list[str]] = {}
-        for fault in found:
+        for fault in form_faults:
             messages_by_path.setdefault(fault.path, []).append(fault.message)
         groups = fields_of(editing.draft, editing.section)
-        shown = choose_groups(groups, messages_by_path, asked.get("find"), GROUPS_SHOWN)
+        shown = choose_groups(groups, messages_by_path, request.get("find"), MAX_GROUPS_SHOWN)
         return self._render(
-            asked,
-            UNPROCESSABLE if found else OK,
+            request,
+            UNPROCESSABLE if form_faults else OK,
             "edit.html",
             editing=editing,
             document=json.dumps(editing.draft),
             sections=SECTIONS,
             groups=shown,
             groups_in_all=len(groups),
-            find=asked.get("find"),
-            faults=found,
+            find=request.get("find"),
+            faults=form_faults,
             section_of=section_of,
             messages_by_path=messages_by_path,
         )
 
-    async def _review(self, asked: Asked, editing: _Editing, note: str) -> Page:
-        """Show the whole document and its difference, or each fault at its field."""
+    async def _review(self, request: PageRequest, editing: _EditState, note: str) -> Page:
+        """Show the whole document and its differences, or the form with faults at their fields."""
         report = porcelain.check(json.dumps(editing.draft))
         if report.document is None:
             faults = locate_faults(report.faults)
-            first = _Editing(editing.draft, editing.base, section_of(faults[0].path))
-            return self._form(asked, first, faults)
-        return await self._show_review(asked, report.document, editing.base, note)
+            at_fault = _EditState(editing.draft, editing.base, section_of(faults[0].path))
+            return self._render_form(request, at_fault, faults)
+        return await self._render_review(request, report.document, editing.base, note)
 
-    async def _show_review(
-        self, asked: Asked, document: PolicyDocument, base: int, note: str, fault: str = ""
+    async def _render_review(
+        self, request: PageRequest, document: PolicyDocument, base: int, note: str, fault: str = ""
     ) -> Page:
         current = await self._repository.current()
         before = porcelain.as_json(current.document) if current else {}
         whole = porcelain.as_json(document)
         return self._render(
-            asked,
+            request,
             FORBIDDEN if fault else OK,
             "review.html",
             current=current,
@@ -263,20 +271,20 @@
             fault=fault,
         )
 
-    async def _accept(self, asked: Asked) -> Page:
-        """Make the reviewed document the policy in force, if its author may and nobody raced."""
-        document = parse_policy(asked.get("document"), "draft")
-        base = int(asked.get("base")) if asked.get("base").isdecimal() else ABSENT
-        name = self._tokens.name_of(asked.get("token"))
+    async def _accept(self, request: PageRequest) -> Page:
+        """Put the reviewed document in force if the token is valid and no other edit came first."""
+        document = parse_policy(request.get("document"), "draft")
+        base = int(request.get("base")) if request.get("base").isdecimal() else ABSENT
+        name = self._tokens.name_of(request.get("token"))
         if name is None:
             logs.event("change-refused", logging.WARNING, reason="no operator's token")
-            fault = "The operator's token is wrong."
-            return await self._show_review(asked, document, base, asked.get("note"), fault)
-        signature = sign(name, asked.get("note")[:MAX_NOTE])
+            fault = "Invalid operator token."
+            return await self._render_review(request, document, base, request.get("note"), fault)
+        signature = sign(name, request.get("note")[:MAX_NOTE])
         result = await porcelain.apply(self._repository, document, base, signature)
         if result.is_error():
             logs.event("change-refused", operator=name, reason="conflict", expected_version=base)
-            return self._conflict(asked, document, result.error)
+            return self._render_conflict(request, document, result.error)
         accepted = result.ok
         logs.event(
             "change-accepted",
@@ -285,75 +293,77 @@
             note=accepted.revision.note,
             changes="; ".join(str(change) for change in accepted.changes)[:2_000],
         )
-        return self._render(asked, OK, "accepted.html", accepted=accepted)
+        return self._render(request, OK, "accepted.html", accepted=accepted)
 
-    def _conflict(self, asked: Asked, document: PolicyDocument, race: Race) -> Page:
-        """Show both edits; the author's whole document stays in the form."""
+    def _render_conflict(self, request: PageRequest, document: PolicyDocument, race: Race) -> Page:
+        """Show both edits; the form keeps the author's whole document."""
         mine = porcelain.as_json(document)
         theirs = porcelain.as_json(race.current.document) if race.current else {}
         comparison = race.comparison or compare(theirs, mine, theirs)
         return self._render(
-            asked,
+            request,
             CONFLICT,
             "conflict.html",
             race=race,
             comparison=comparison,
             document=json.dumps(mine),
-            note=asked.get("note"),
+            note=request.get("note"),
         )
 
-    async def _resolve(self, asked: Asked) -> Page:
-        """Put the author's edit on top of what is in force, each conflict as it was chosen."""
-        mine = parse_draft(asked.get("document"))
-        editing = await self._in_force()
-        if asked.get("theirs") != str(editing.base):
-            # Guards against a third edit since the choices were shown: where it clashes nobody
-            # has chosen, and taking theirs there would lose this author's edit unseen.
-            return await self._conflict_now(asked, mine)
-        comparison = await self._comparison(asked, mine, editing.draft)
-        keep = {
+    async def _resolve(self, request: PageRequest) -> Page:
+        """Merge the author's edit into the policy in force as chosen for each conflict."""
+        mine = parse_draft(request.get("document"))
+        editing = await self._edit_policy_in_force()
+        if request.get("theirs") != str(editing.base):
+            # A third edit came after the choices were shown. No choice was made for its conflicts,
+            # and keeping theirs by default would silently lose this author's edit.
+            return await self._compare_with_current(request, mine)
+        comparison = await self._compare_edits(request, mine, editing.draft)
+        keep_mine = {
             index
             for index in range(len(comparison.conflicts))
-            if asked.get(f"keep.{comparison.conflicts[index].mine.name}") == "mine"
+            if request.get(f"keep.{comparison.conflicts[index].mine.name}") == "mine"
         }
-        merged = resolve(comparison, mine, editing.draft, keep)
-        return await self._review(asked, _Editing(merged, editing.base), asked.get("note"))
+        merged = resolve(comparison, mine, editing.draft, keep_mine)
+        return await self._review(request, _EditState(merged, editing.base), request.get("note"))
 
-    async def _conflict_now(self, asked: Asked, mine: Draft) -> Page:
-        """Show the conflict of a draft with what is in force now."""
+    async def _compare_with_current(self, request: PageRequest, mine: Draft) -> Page:
+        """Show the conflicts between a draft and the policy now in force."""
         document = parse_policy(json.dumps(mine), "draft")
-        expected = int(asked.get("base")) if asked.get("base").isdecimal() else ABSENT
+        expected = int(request.get("base")) if request.get("base").isdecimal() else ABSENT
         current = await self._repository.current()
         theirs = porcelain.as_json(current.document) if current else {}
-        comparison = await self._comparison(asked, mine, theirs)
-        return self._conflict(asked, document, Race(expected, current, comparison))
+        comparison = await self._compare_edits(request, mine, theirs)
+        return self._render_conflict(request, document, Race(expected, current, comparison))
 
-    async def _comparison(self, asked: Asked, mine: Draft, theirs: Draft) -> Comparison:
-        version = asked.get("base")
+    async def _compare_edits(self, request: PageRequest, mine: Draft, theirs: Draft) -> Comparison:
+        version = request.get("base")
         base = await self._repository.revision(int(version)) if version.isdecimal() else None
         return compare(porcelain.as_json(base.document) if base else theirs, mine, theirs)
 
 
-def _edited(editing: _Editing, verb: str, argument: str, asked: Asked) -> _Editing:
-    """Return the draft after a button of the form."""
-    if verb == "show" and argument in Section.__members__:
-        return _Editing(editing.draft, editing.base, Section[argument], editing.message)
+def _apply_action(
+    editing: _EditState, action: str, argument: str, request: PageRequest
+) -> _EditState:
+    """Apply the action of a form button to the draft."""
+    if action == "show" and argument in Section.__members__:
+        return _EditState(editing.draft, editing.base, Section[argument], editing.message)
     operations = {
-        "add": lambda: add(editing.draft, argument, asked.get(f"new.{argument}")),
+        "add": lambda: add(editing.draft, argument, request.get(f"new.{argument}")),
         "remove": lambda: remove(editing.draft, argument),
         "up": lambda: move_rule_up(editing.draft, argument),
     }
-    if verb not in operations:
+    if action not in operations:
         return editing
-    result = operations[verb]()
+    result = operations[action]()
     if result.is_error():
-        return _Editing(editing.draft, editing.base, editing.section, result.error)
-    return _Editing(result.ok, editing.base, editing.section)
+        return _EditState(editing.draft, editing.base, editing.section, result.error)
+    return _EditState(result.ok, editing.base, editing.section)
 
 
-def _with_state(editing: _Editing, argument: str) -> _Editing:
-    """Return the draft with a target's state; ``argument`` is ``target:state``."""
+def _with_target_state(editing: _EditState, argument: str) -> _EditState:
+    """Return the draft with a target's state set; ``argument`` is ``target:state``."""
     target_id, _, state = argument.partition(":")
-    return _Editing(
+    return _EditState(
         apply_fields(editing.draft, {f"targets.{target_id}.state": state}), editing.base
     )
--- a/tests/test_consolepages.py
+++ b/tests/test_consolepages.py
@@ -1,4 +1,4 @@
-"""Tests of the console's pages over fakes."""
+"""Tests of the console's pages with a fake store and fake entries."""
 
 import html
 import json
@@ -7,7 +7,7 @@
 import unittest
 
 from briarspur import porcelain
-from briarspur.consolepages import Asked, Console, Page
+from briarspur.consolepages import Console, Page, PageRequest
 from briarspur.coord.envelope import Envelope
 from briarspur.coord.store import ABSENT
 from briarspur.errors import SettingsError
@@ -24,7 +24,7 @@
 
 
 class ConsoleTest(unittest.IsolatedAsyncioTestCase):
-    """An operator's work by forms, and what is refused."""
+    """An operator edits, reviews and accepts through forms; invalid submissions are rejected."""
 
     async def asyncSetUp(self) -> None:
         self.store = FakeStore()
@@ -40,17 +40,17 @@
         self.console = Console(self.repository, view, tokens, self.guard)
 
     async def get(self, path: str) -> Page:
-        return await self.console.answer(Asked("GET", path, SESSION))
+        return await self.console.handle(PageRequest("GET", path, SESSION))
 
     async def post(self, path: str, **fields: str) -> Page:
-        named = {name.replace("__", "."): value for name, value in fields.items()}
-        named.setdefault("guard", self.guard.field_for(SESSION))
-        return await self.console.answer(Asked("POST", path, SESSION, named))
+        submitted = {name.replace("__", "."): value for name, value in fields.items()}
+        submitted.setdefault("guard", self.guard.field_for(SESSION))
+        return await self.console.handle(PageRequest("POST", path, SESSION, submitted))
 
     def hidden(self, page: Page, name: str) -> str:
-        found = re.search(rf'name="{name}" value="([^"]*)"', page.html)
-        assert found is not None, page.html
-        return html.unescape(found[1])
+        match = re.search(rf'name="{name}" value="([^"]*)"', page.html)
+        assert match is not None, page.html
+        return html.unescape(match[1])
 
     async def reviewed(self, **fields: str) -> Page:
         form = await self.get("/edit")
@@ -103,9 +103,9 @@
         self.assertIn('value="soon"', page.html)
         self.assertEqual(await self.in_force(), 500)
 
-    async def test_a_racing_edit_shows_both_and_loses_nothing(self) -> None:
-        # Two operators open the form on one version. The other accepts first. This one must see
-        # both edits, choose where they clash, and end with everything else of both.
+    async def test_conflicting_edits_are_both_shown_and_merged_without_loss(self) -> None:
+        # Two operators edit the same version and the other one accepts first. This operator must
+        # see both edits and choose between conflicting ones; all other changes are merged.
         review = await self.reviewed(
             services__times__objective__latency_ms="400",
             services__booking__objective__latency_ms="450",
@@ -128,9 +128,9 @@
         caps = {kind.value: cap.requests_per_window for kind, cap in current.document.caps.items()}
         self.assertEqual(caps["return"], 7)
 
-    async def test_a_third_edit_while_choosing_is_shown_too(self) -> None:
-        # While an operator looks at a conflict, a third one edits what this one edited as well.
-        # Nobody has chosen there yet: going on would drop this operator's edit unseen.
+    async def test_a_third_edit_during_conflict_resolution_is_shown(self) -> None:
+        # While an operator resolves a conflict, a third one edits a value that this operator also
+        # edited. No choice was made for it, so merging would silently drop this operator's edit.
         review = await self.reviewed(services__booking__objective__latency_ms="450")
         theirs = small_policy()
         theirs["caps"]["return"]["requests_per_window"] = 7
@@ -145,14 +145,15 @@
         self.assertIn("500 -&gt; 450", again.html)
         self.assertEqual((await self.resolve(again)).status, 200)
 
-    async def test_a_wrong_token_changes_nothing_and_keeps_the_draft(self) -> None:
+    async def test_an_invalid_token_changes_nothing_and_keeps_the_draft(self) -> None:
         review = await self.reviewed(services__times__objective__latency_ms="400")
-        refused = await self.accept(review, token="wrong")
-        self.assertEqual((refused.status, await self.in_force()), (403, 500))
-        self.assertEqual((await self.accept(refused)).status, 200)
+        rejected = await self.accept(review, token="wrong")
+        self.assertEqual((rejected.status, await self.in_force()), (403, 500))
+        self.assertEqual((await self.accept(rejected)).status, 200)
 
     async def test_a_form_of_another_session_changes_nothing(self) -> None:
-        # An operator with a session here opens a foreign page, which sends a form to /accept.
+        # Cross-site request forgery: an operator with a console session opens a foreign page that
+        # submits a form to /accept.
         review = await self.reviewed(services__times__objective__latency_ms="400")
         for guard in ("", "x", self.guard.field_for("another"), "\u20ac"):
             page = await self.post(
@@ -164,7 +165,7 @@
             )
             self.assertEqual((page.status, await self.in_force()), (403, 500))
 
-    async def test_everything_typed_is_escaped(self) -> None:
+    async def test_all_submitted_text_is_escaped(self) -> None:
         evil = "<script>alert(1)</script>"
         pages = [
             await self.reviewed(services__times__path=evil),
@@ -178,13 +179,13 @@
         for page in pages:
             self.assertNotIn(evil, page.html)
 
-    async def test_drain_and_rollback_go_through_the_review(self) -> None:
+    async def test_drain_and_rollback_are_reviewed_before_they_are_accepted(self) -> None:
         review = await self.post("/edit", action="state:times-north-1:leaving")
         self.assertIn("targets.times-north-1.state", review.html)
         self.assertEqual((await self.accept(review)).status, 200)
         self.assertIn("not known everywhere", (await self.get("/drains")).html)
-        back = await self.post("/edit", action="rollback:1")
-        self.assertEqual((await self.accept(back)).status, 200)
+        rollback = await self.post("/edit", action="rollback:1")
+        self.assertEqual((await self.accept(rollback)).status, 200)
         self.assertEqual(len(await self.repository.history(10)), 3)
 
     async def test_a_service_page_shows_the_plan_in_force(self) -> None:
@@ -201,7 +202,7 @@
         self.assertIn("north 75.0 %, then south 25.0 %", page)
         self.assertIn("steer-2, term 3, number 9", page)
 
-    async def test_every_page_shows_without_entries_levels_or_policy(self) -> None:
+    async def test_every_page_renders_without_entries_levels_or_policy(self) -> None:
         paths = ("/", "/edit", "/status", "/drains", "/history", "/services/times")
         for path in paths:
             self.assertEqual((await self.get(path)).status, 200, path)
@@ -213,7 +214,7 @@
         for path in paths[:-1]:
             self.assertEqual((await self.get(path)).status, 200, path)
 
-    async def test_a_malformed_draft_is_answered(self) -> None:
+    async def test_a_malformed_draft_causes_no_internal_error(self) -> None:
         shapes = ("{", "[]", "{}", '{"services": []}', '{"services": {"a": {"rules": [1]}}}')
         for document, base in ((shape, base) for shape in shapes for base in ("1", "x", "²")):
             for path in ("/edit", "/accept", "/resolve"):
@@ -221,7 +222,7 @@
                 self.assertIn(page.status, (200, 422), (path, document, base))
         self.assertEqual(await self.in_force(), 500)
 
-    async def test_health_needs_no_store_and_readiness_does(self) -> None:
+    async def test_health_does_not_need_the_store_but_readiness_does(self) -> None:
         self.assertEqual((await self.get("/readyz")).status, 200)
         self.store.down = True
         self.assertEqual((await self.get("/healthz")).status, 200)
@@ -229,9 +230,9 @@
 
 
 class TokensTest(unittest.TestCase):
-    """The file of tokens."""
+    """The file of operator tokens."""
 
-    def test_names_single_tokens_and_short_ones(self) -> None:
+    def test_named_single_and_too_short_tokens(self) -> None:
         with tempfile.NamedTemporaryFile("w+") as file:
             file.write(f"{TOKEN}\n")
             file.flush()
