--- a/briarspur/consolepages.py
+++ b/briarspur/consolepages.py
@@ -317,7 +317,7 @@
         if request.get("theirs") != str(editing.base):
             # A third edit came after the choices were shown. No choice was made for its conflicts,
             # and keeping theirs by default would silently lose this author's edit.
-            return await self._compare_with_current(request, mine)
+            return await self._render_current_conflict(request, mine)
         comparison = await self._compare_edits(request, mine, editing.draft)
         keep_mine = {
             index
@@ -327,7 +327,7 @@
         merged = resolve(comparison, mine, editing.draft, keep_mine)
         return await self._review(request, _EditState(merged, editing.base), request.get("note"))
 
-    async def _compare_with_current(self, request: PageRequest, mine: Draft) -> Page:
+    async def _render_current_conflict(self, request: PageRequest, mine: Draft) -> Page:
         """Show the conflicts between a draft and the policy now in force."""
         document = parse_policy(json.dumps(mine), "draft")
         expected = int(request.get("base")) if request.get("base").isdecimal() else ABSENT
