--- a/briarspur/members.py
+++ b/briarspur/members.py
@@ -1,4 +1,4 @@
-"""The entries that are live, as the decision core needs them."""
+"""A read-only view of the live entries, for the decision core."""
 
 from dataclasses import dataclass, field
 
@@ -9,14 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewedMember:
-    """One live entry.
+    """A live entry.
 
     Attributes
     ----------
     incarnation : str
-        Random text of this process; the home of the keys that begin with it.
+        Random id of the entry process. The process is the home of every idempotency key that has
+        this id in its prefix.
     leaving : bool
-        The entry is stopping: it gets no new targets and is not in look-ups, but still answers.
+        Whether the entry is stopping: it owns no targets and is not listed in look-ups, but still
+        answers requests.
     """
 
     address: EntryAddress
@@ -28,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """Every live entry, this one included, at one moment."""
+    """A snapshot of the live entries, including this one."""
 
     by_id: dict[str, ViewedMember] = field(default_factory=dict)
 
     def serving(self, region: str) -> list[str]:
-        """Return the ids of the entries of a region that are not leaving, sorted."""
+        """Return the sorted ids of the entries of a region that are not leaving."""
         return sorted(
             entry_id
             for entry_id, member in self.by_id.items()
@@ -41,7 +43,7 @@
         )
 
     def by_incarnation(self, incarnation: str) -> ViewedMember | None:
-        """Return the entry process with this incarnation, if it is live."""
+        """Return the live entry with this incarnation, or None if there is none."""
         for member in self.by_id.values():
             if member.incarnation == incarnation:
                 return member
