--- a/briarspur/latency.py
+++ b/briarspur/latency.py
@@ -1,7 +1,7 @@
-"""Latency histograms: recorded, sent, merged and subtracted, never averaged.
+"""Latency histograms that can be encoded, merged and subtracted.
 
-Values are microseconds with two significant digits. The histogram's own encoding (HdrHistogram V2,
-compressed, base64) is what travels and what is stored.
+Latencies are merged as histograms, never averaged. Values are microseconds with two significant
+digits. Histograms are sent and stored in the HdrHistogram V2 encoding (compressed, base64).
 """
 
 from collections.abc import Iterable
@@ -15,17 +15,17 @@
 
 LOWEST_US = 1
 HIGHEST_US = 3_600_000_000
-DIGITS = 2
+SIGNIFICANT_DIGITS = 2
 US_PER_S = 1_000_000
 
 
 def new_histogram() -> Histogram:
-    """Return an empty histogram from 1 µs to 1 hour."""
-    return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    """Return an empty histogram with a range of 1 µs to 1 hour."""
+    return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
 
 
 def encode(histogram: Histogram) -> str:
-    """Return the form that is sent and stored; empty for an empty histogram."""
+    """Return the encoded histogram, or an empty string if it has no values."""
     if histogram.get_total_count() == 0:
         return ""
     encoded: bytes = histogram.encode()
@@ -33,29 +33,29 @@
 
 
 def decode(text: str) -> Histogram:
-    """Return the histogram in ``text``.
+    """Return the histogram encoded in ``text``.
 
     Raises
     ------
     ValueError
-        The text is no histogram.
+        If the text is not an encoded histogram.
     """
     if not text:
         return new_histogram()
     try:
         return HdrHistogram.decode(text.encode("ascii"))
     except Exception as error:
-        # The library raises zlib, base64 and its own errors; all mean the same here.
+        # The library raises zlib and base64 errors as well as its own; all mean a malformed text.
         raise ValueError(f"not a histogram: {error}") from None
 
 
 def merge(texts: Iterable[str]) -> Histogram:
-    """Return one histogram of all values in encoded ones.
+    """Return one histogram with the values of all the encoded histograms.
 
     Raises
     ------
     ValueError
-        One of them is no histogram.
+        If one of the texts is not an encoded histogram.
     """
     result = new_histogram()
     for text in texts:
@@ -67,9 +67,9 @@
 def add(total: Histogram, part: Histogram) -> None:
     """Add the values of ``part`` to ``total`` and free ``part``.
 
-    Guards against a program that grows to hundreds of megabytes: a histogram and its encoder refer
-    to each other, so its 30 KB would wait for Python's collector of cycles, which goes by the
-    number of objects and not by their size.
+    A histogram and its encoder refer to each other, so their 30 KB would be freed only by the
+    cyclic garbage collector. That one is triggered by the number of objects, not by their size, and
+    the process would grow to hundreds of megabytes.
     """
     if part.get_total_count():
         total.add(part)
@@ -78,12 +78,12 @@
 
 
 def subtract(later: Histogram, earlier: Histogram) -> Histogram:
-    """Return what was recorded between two states of one cumulative histogram.
+    """Return the values recorded between two snapshots of a cumulative histogram.
 
     Raises
     ------
     ValueError
-        ``earlier`` holds values that ``later`` does not: they are not states of one histogram.
+        If ``earlier`` has values that ``later`` lacks, so they are not of the same histogram.
     """
     result = new_histogram()
     for index in range(result.counts_len):
@@ -95,9 +95,9 @@
     return result
 
 
-def quantile(histogram: Histogram, share: float) -> float | None:
-    """Return the latency in seconds that ``share`` of the answers kept; None without answers."""
+def quantile(histogram: Histogram, fraction: float) -> float | None:
+    """Return the latency in seconds at a quantile from 0 to 1, or None if there are no values."""
     if histogram.get_total_count() == 0:
         return None
-    value: float = histogram.get_value_at_percentile(share * 100)
+    value: float = histogram.get_value_at_percentile(fraction * 100)
     return value / US_PER_S
