--- a/briarspur/link.py
+++ b/briarspur/link.py
@@ -1,65 +1,66 @@
-"""Byte rates on the links into the data centres: pacing by share, a part kept for small answers."""
+"""Pacing of the traffic on a link into a data centre, with a share reserved for small responses."""
 
 from briarspur.messages import Priority
 
 __all__ = ["LinkPacer"]
 
 BURST_S = 0.25
-"""Seconds of the rate that may pass at once after the link was idle."""
+"""Largest burst after an idle time, in seconds of the rate."""
 
 
 class LinkPacer:
-    """Paces the bytes of one entry on one link.
+    """Paces the traffic of one entry on one link.
 
-    Two token buckets that may go into debt. Downloads and bulk draw on their part of the rate;
-    small answers draw on the whole rate, and so find the kept part free whatever downloads do.
-    Each entry paces within its own share and nobody measures the link, so lost or late
-    measurements cannot push it over its limit.
+    Uses two token buckets whose balance may become negative. Downloads and bulk traffic are
+    charged to both and are held to their part of the rate; small responses are charged only to
+    the bucket of the full rate, so downloads never use up the reserved part. Each entry stays
+    within its own share of the link, without measuring the link's load: lost or late measurements
+    can't push the link over its limit.
 
     Parameters
     ----------
     rate : float
         This entry's share of the link, bytes/s.
     small_share : float
-        Part of the rate that downloads never use, 0 to 1.
+        Part of the rate reserved for small responses, 0 to 1.
     """
 
     def __init__(self, rate: float, small_share: float, now: float) -> None:
-        self._whole = _Bucket(rate, now)
+        self._full = _Bucket(rate, now)
         self._large = _Bucket(rate * (1 - small_share), now)
 
     def charge(self, priority: Priority, size: int, now: float) -> float:
-        """Count ``size`` bytes that have just passed; return the seconds to pause the sender."""
-        pause = self._whole.take(size, now)
+        """Charge ``size`` bytes that were just sent; return the seconds to pause the sender."""
+        pause = self._full.charge(size, now)
         if priority >= Priority.DOWNLOAD:
-            return max(pause, self._large.take(size, now))
+            return max(pause, self._large.charge(size, now))
         return pause
 
     def backlog(self, priority: Priority, now: float) -> float:
-        """Return the seconds until the bytes already counted are paid for."""
-        bucket = self._large if priority >= Priority.DOWNLOAD else self._whole
-        return bucket.debt(now)
+        """Return the seconds until the rate covers the bytes already charged."""
+        bucket = self._large if priority >= Priority.DOWNLOAD else self._full
+        return bucket.backlog(now)
 
     def set_rate(self, rate: float, small_share: float, now: float) -> None:
-        """Change the share, keeping what is owed."""
-        self._whole.set_rate(rate, now)
+        """Change the rate and the reserved part; the backlog remains."""
+        self._full.set_rate(rate, now)
         self._large.set_rate(rate * (1 - small_share), now)
 
 
 class _Bucket:
-    """A token bucket that may go into debt."""
+    """A token bucket whose balance may become negative."""
 
     def __init__(self, rate: float, now: float) -> None:
         self._rate = max(rate, 1.0)
         self._tokens = self._rate * BURST_S
-        self._at = now
+        self._refilled_at = now
 
-    def take(self, size: int, now: float) -> float:
+    def charge(self, size: int, now: float) -> float:
         self._refill(now)
         self._tokens -= size
         return max(0.0, -self._tokens / self._rate)
 
-    def debt(self, now: float) -> float:
+    def backlog(self, now: float) -> float:
         self._refill(now)
         return max(0.0, -self._tokens / self._rate)
 
@@ -68,6 +69,6 @@
         self._rate = max(rate, 1.0)
 
     def _refill(self, now: float) -> None:
-        elapsed = max(0.0, now - self._at)
-        self._at = now
+        elapsed = max(0.0, now - self._refilled_at)
+        self._refilled_at = now
         self._tokens = min(self._rate * BURST_S, self._tokens + elapsed * self._rate)
