--- a/briarspur/gossip.py
+++ b/briarspur/gossip.py
@@ -1,16 +1,16 @@
-"""Typed messages between entries."""
+"""Typed messages that entries exchange."""
 
 from dataclasses import dataclass, field
 
 from briarspur.coord.members import MemberUpdate
 from briarspur.exchange import News
 
-__all__ = ["BorrowAsked", "Gossip", "ObjectCopy", "ObjectVersion", "PeerProbe", "PeerReply"]
+__all__ = ["Gossip", "ObjectCopy", "ObjectVersion", "PeerBorrowRequest", "PeerProbe", "PeerReply"]
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectVersion:
-    """Which version of an object an entry has in force."""
+    """The version of an object that an entry has in force."""
 
     name: str
     version: int
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectCopy:
-    """An object as one entry passes it to another."""
+    """An object sent from one entry to another."""
 
     name: str
     version: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gossip:
-    """What rides on every probe and reply."""
+    """The payload piggybacked on every probe and reply."""
 
     updates: tuple[MemberUpdate, ...] = ()
     objects: tuple[ObjectVersion, ...] = ()
@@ -38,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerProbe:
-    """A probe.
+    """A membership probe.
 
     Attributes
     ----------
     receiver : str
-        Whom the probe is for; not its addressee, if that one shall probe another.
+        Id of the entry to probe. It differs from the addressee in an indirect probe.
     """
 
     sender: str
@@ -54,12 +54,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerReply:
-    """The answer to a probe.
+    """The reply to a probe.
 
     Attributes
     ----------
     acknowledged : bool
-        False if the addressee was asked to probe another, which did not answer it.
+        False if the addressee of an indirect probe got no reply from the probed entry.
     """
 
     sender: str
@@ -69,8 +69,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BorrowAsked:
-    """A request for a part of a limit; ``lifetime`` in seconds."""
+class PeerBorrowRequest:
+    """A request to borrow part of another entry's share of a limit; ``lifetime`` in seconds."""
 
     sender: str
     resource: str
--- a/briarspur/peerchannels.py
+++ b/briarspur/peerchannels.py
@@ -1,4 +1,4 @@
-"""Kept gRPC connections to other entries."""
+"""Pool of gRPC connections to other entries."""
 
 import asyncio
 from collections import OrderedDict
@@ -18,88 +18,92 @@
 
 
 @dataclass(slots=True)
-class _Kept:
+class _OpenChannel:
     channel: Channel
     used_at: float
     calls: int = 0
 
 
 class PeerChannels:
-    """Connections by address; owns them.
+    """Pool of connections by address; the pool closes them.
 
     Parameters
     ----------
-    most : int
-        Connections kept open at most.
-    idle : float
-        Seconds for which a connection without calls is kept.
+    max_channels : int
+        Maximum number of open connections. Connections with calls in progress may exceed it.
+    idle_timeout : float
+        Seconds after which a connection without calls is closed.
     """
 
-    def __init__(self, most: int, idle: float) -> None:
-        self._most = most
-        self._idle = idle
-        self._kept_by_address: OrderedDict[Address, _Kept] = OrderedDict()
+    def __init__(self, max_channels: int, idle_timeout: float) -> None:
+        self._max_channels = max_channels
+        self._idle_timeout = idle_timeout
+        self._channels_by_address: OrderedDict[Address, _OpenChannel] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._kept_by_address)
+        return len(self._channels_by_address)
 
     def close(self) -> None:
         """Close every connection."""
-        while self._kept_by_address:
-            self._kept_by_address.popitem()[1].channel.close()
+        while self._channels_by_address:
+            self._channels_by_address.popitem()[1].channel.close()
 
     def close_idle(self) -> None:
-        """Close connections that had no call for long."""
-        oldest_wanted = asyncio.get_running_loop().time() - self._idle
-        for address, kept in list(self._kept_by_address.items()):
-            if kept.calls == 0 and kept.used_at < oldest_wanted:
-                self._drop(address, kept)
+        """Close the connections that were idle for longer than the idle timeout."""
+        idle_before = asyncio.get_running_loop().time() - self._idle_timeout
+        for address, open_channel in list(self._channels_by_address.items()):
+            if open_channel.calls == 0 and open_channel.used_at < idle_before:
+                self._close_channel(address, open_channel)
 
     async def call(
         self, address: Address, call: Callable[[Channel], Awaitable[T]], timeout: float
     ) -> T:
-        """Make a call; ``timeout`` in seconds.
+        """Make a call to the entry at ``address``; ``timeout`` in seconds.
 
         Raises
         ------
         PeerError
-            The other entry can't be reached, or did not answer in time; it may have acted on the
-            message.
+            If the other entry can't be reached or doesn't reply in time. It may have processed the
+            message nevertheless.
         """
-        kept = self._keep(address)
-        kept.calls += 1
+        open_channel = self._get_or_open(address)
+        open_channel.calls += 1
         try:
             async with asyncio.timeout(timeout):
-                return await call(kept.channel)
+                return await call(open_channel.channel)
         except (OSError, TimeoutError, GRPCError, StreamTerminatedError, ProtocolError) as error:
-            # A connection cut without a word looks open: a new one tells whether the peer is there.
-            self._drop(address, kept)
+            # A connection that was cut without a FIN or RST looks open. The next call opens a new
+            # one, which shows whether the peer is reachable.
+            self._close_channel(address, open_channel)
             raise PeerError(f"{address.host}:{address.port}: {error!r}") from None
         except ValueError as error:
             raise PeerError(f"{address.host}:{address.port}: malformed reply: {error}") from None
         finally:
-            kept.calls -= 1
-            kept.used_at = asyncio.get_running_loop().time()
+            open_channel.calls -= 1
+            open_channel.used_at = asyncio.get_running_loop().time()
 
-    def _keep(self, address: Address) -> _Kept:
-        """Return the connection to an address, made if need be; the longest unused one goes."""
-        kept = self._kept_by_address.get(address)
+    def _get_or_open(self, address: Address) -> _OpenChannel:
+        """Return the connection to an address; open one if there is none.
+
+        Above the maximum, the least recently used connection without calls is closed.
+        """
+        open_channel = self._channels_by_address.get(address)
         now = asyncio.get_running_loop().time()
-        if kept is None:
-            kept = _Kept(Channel(address.host, address.port), now)
-            self._kept_by_address[address] = kept
-        self._kept_by_address.move_to_end(address)
-        if len(self._kept_by_address) > self._most:
-            self._drop_unused()
-        return kept
-
-    def _drop_unused(self) -> None:
-        for address, kept in self._kept_by_address.items():
-            if kept.calls == 0:
-                self._drop(address, kept)
+        if open_channel is None:
+            open_channel = _OpenChannel(Channel(address.host, address.port), now)
+            self._channels_by_address[address] = open_channel
+        self._channels_by_address.move_to_end(address)
+        if len(self._channels_by_address) > self._max_channels:
+            self._close_least_recently_used()
+        return open_channel
+
+    def _close_least_recently_used(self) -> None:
+        for address, open_channel in self._channels_by_address.items():
+            if open_channel.calls == 0:
+                self._close_channel(address, open_channel)
                 return
 
-    def _drop(self, address: Address, kept: _Kept) -> None:
-        if self._kept_by_address.get(address) is kept:
-            del self._kept_by_address[address]
-        kept.channel.close()
+    def _close_channel(self, address: Address, open_channel: _OpenChannel) -> None:
+        if self._channels_by_address.get(address) is open_channel:
+            del self._channels_by_address[address]
+        open_channel.channel.close()
--- a/briarspur/peering.py
+++ b/briarspur/peering.py
@@ -20,7 +20,7 @@
 from briarspur.core import Core
 from briarspur.errors import PeerError
 from briarspur.follow import Follow
-from briarspur.gossip import BorrowAsked, Gossip, ObjectCopy, PeerProbe, PeerReply
+from briarspur.gossip import Gossip, ObjectCopy, PeerBorrowRequest, PeerProbe, PeerReply
 from briarspur.loadreport import LOAD_NAME
 from briarspur.members import MemberView, ViewedMember
 from briarspur.messages import EntryAddress
@@ -110,7 +110,7 @@
 
     # What others ask; see PeerHandler
 
-    def probed(self, probe: PeerProbe) -> PeerReply:
+    def on_probe(self, probe: PeerProbe) -> PeerReply:
         """Answer a probe."""
         if self._stopped:
             # A kept connection may outlive the listening port; its last answers would keep a
@@ -121,7 +121,7 @@
         self._heard(probe.sender, probe.gossip)
         return PeerReply(self._me, probe.number, True, self._gossip(updates))
 
-    async def probed_via(self, probe: PeerProbe) -> PeerReply:
+    async def on_probe_via(self, probe: PeerProbe) -> PeerReply:
         """Probe ``probe.receiver`` for the sender, and say whether it answered."""
         updates = self._membership.on_probe(
             Probe(probe.sender, probe.gossip.updates), self._clock()
@@ -137,7 +137,7 @@
                 acknowledged = False
         return PeerReply(self._me, probe.number, acknowledged, self._gossip(updates))
 
-    async def fetched(self, name: str, newer_than: int) -> ObjectCopy | None:
+    async def on_fetch(self, name: str, newer_than: int) -> ObjectCopy | None:
         """Return the object if the version in force here is above ``newer_than``."""
         if name == LOAD_NAME:
             return ObjectCopy(LOAD_NAME, newer_than + 1, b"", self._load())
@@ -146,11 +146,11 @@
             return ObjectCopy(MEMBERS_NAME, newer_than + 1, b"", value)
         return self._follow.copy(name, newer_than)
 
-    async def offered(self, copy: ObjectCopy) -> int:
+    async def on_offer(self, copy: ObjectCopy) -> int:
         """Take an object, if it is newer; return the version in force here afterwards."""
         return self._follow.offered(copy)
 
-    def asked_to_lend(self, asked: BorrowAsked) -> int:
+    def on_borrow(self, asked: PeerBorrowRequest) -> int:
         """Grant a part of a limit; return how much."""
         return self._core.exchange.lend(
             asked.resource, asked.transfer_id, asked.amount, asked.lifetime, self._clock()
@@ -323,7 +323,7 @@
         if wanted is None or wanted.entry_id not in view.by_id:
             return
         address = view.by_id[wanted.entry_id].address
-        asked = BorrowAsked(
+        asked = PeerBorrowRequest(
             self._me, wanted.resource, wanted.amount, wanted.transfer_id, wanted.lifetime
         )
 
--- a/briarspur/peers.py
+++ b/briarspur/peers.py
@@ -1,4 +1,4 @@
-"""The gRPC shell between entries: a server that hands messages on, and a client."""
+"""gRPC server and client for the messages between entries."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 from briarspur import peer_pb2 as pb
 from briarspur import peerwire
 from briarspur.coord.address import Address
-from briarspur.gossip import BorrowAsked, ObjectCopy, PeerProbe, PeerReply
+from briarspur.gossip import ObjectCopy, PeerBorrowRequest, PeerProbe, PeerReply
 from briarspur.peer_grpc import PeerBase, PeerStub
 from briarspur.peerchannels import PeerChannels
 
@@ -22,42 +22,42 @@
 
 
 class PeerHandler(Protocol):
-    """What an entry does with the messages of others."""
+    """Handles the messages of other entries."""
 
-    def probed(self, probe: PeerProbe) -> PeerReply:
-        """Answer a probe."""
+    def on_probe(self, probe: PeerProbe) -> PeerReply:
+        """Reply to a probe."""
 
-    async def probed_via(self, probe: PeerProbe) -> PeerReply:
-        """Probe ``probe.receiver`` for the sender, and say whether it answered."""
+    async def on_probe_via(self, probe: PeerProbe) -> PeerReply:
+        """Probe ``probe.receiver`` on behalf of the sender; report whether it replied."""
 
-    async def fetched(self, name: str, newer_than: int) -> ObjectCopy | None:
-        """Return the object if the version in force here is above ``newer_than``."""
+    async def on_fetch(self, name: str, newer_than: int) -> ObjectCopy | None:
+        """Return the object if the version in force here is above ``newer_than``, or None."""
 
-    async def offered(self, copy: ObjectCopy) -> int:
-        """Take an object, if it is newer; return the version in force here afterwards."""
+    async def on_offer(self, copy: ObjectCopy) -> int:
+        """Apply an object if it is newer; return the version then in force here."""
 
-    def asked_to_lend(self, asked: BorrowAsked) -> int:
-        """Grant a part of a limit; return how much."""
+    def on_borrow(self, request: PeerBorrowRequest) -> int:
+        """Lend part of a limit; return the granted amount."""
 
 
 class PeerServer:
-    """Listens for other entries.
+    """Listens for messages of other entries.
 
     Parameters
     ----------
     handler : PeerHandler
-        Gets every message.
+        Receives every message.
     """
 
     def __init__(self, handler: PeerHandler) -> None:
         self._server = Server([_Service(handler)])
 
     async def start(self, host: str, port: int) -> None:
-        """Listen."""
+        """Start listening."""
         await self._server.start(host, port)
 
     async def close(self) -> None:
-        """Stop listening and end the calls in progress."""
+        """Stop listening and cancel the calls in progress."""
         self._server.close()
         await self._server.wait_closed()
 
@@ -69,31 +69,32 @@
     Attributes
     ----------
     timeout : float
-        For probes, offers and loans.
+        For probes and borrow requests; indirect probes have twice this time.
     fetch_timeout : float
-        For objects, which may be large.
-    channels : int
-        Most connections kept open.
-    idle : float
-        How long a connection without calls is kept.
+        For fetches and offers of objects, which may be large.
+    max_channels : int
+        Maximum number of open connections.
+    idle_timeout : float
+        Time after which a connection without calls is closed.
     """
 
     timeout: float = 0.5
     fetch_timeout: float = 5.0
-    channels: int = 64
-    idle: float = 30.0
+    max_channels: int = 64
+    idle_timeout: float = 30.0
 
 
 class PeerClient:
-    """Calls other entries; owns its connections, so use it as an asynchronous context manager.
+    """Sends messages to other entries.
 
-    Every call raises :class:`PeerError` if the other entry can't be reached or does not answer in
-    time; it may still have acted on the message.
+    The client owns its connections; as an asynchronous context manager it closes them at exit.
+    Every call raises :class:`PeerError` if the other entry can't be reached or doesn't reply in
+    time; it may have processed the message nevertheless.
     """
 
     def __init__(self, settings: PeerClientSettings | None = None) -> None:
         self._settings = settings or PeerClientSettings()
-        self.channels = PeerChannels(self._settings.channels, self._settings.idle)
+        self.channels = PeerChannels(self._settings.max_channels, self._settings.idle_timeout)
 
     async def __aenter__(self) -> Self:
         return self
@@ -120,7 +121,7 @@
         return await self._call(address, call, self._settings.timeout)
 
     async def probe_via(self, address: Address, probe: PeerProbe) -> PeerReply:
-        """Ask the entry at ``address`` to probe another one; it needs the time of both probes."""
+        """Ask the entry at ``address`` to probe another one; the timeout covers both probes."""
         message = peerwire.probe_to_wire(probe)
 
         async def call(stub: PeerStub) -> PeerReply:
@@ -129,7 +130,7 @@
         return await self._call(address, call, 2 * self._settings.timeout)
 
     async def fetch(self, address: Address, name: str, newer_than: int) -> ObjectCopy | None:
-        """Return an object if the other entry has a version above ``newer_than``."""
+        """Return an object if the other entry has a version above ``newer_than``, or None."""
         message = pb.ObjectRequest(name=name, newer_than=newer_than)
 
         async def call(stub: PeerStub) -> ObjectCopy | None:
@@ -139,7 +140,7 @@
         return await self._call(address, call, self._settings.fetch_timeout)
 
     async def offer(self, address: Address, copy: ObjectCopy) -> int:
-        """Send an object; return the version in force there afterwards."""
+        """Send an object; return the version then in force at the other entry."""
         message = peerwire.copy_to_wire(copy)
 
         async def call(stub: PeerStub) -> int:
@@ -147,63 +148,63 @@
 
         return await self._call(address, call, self._settings.fetch_timeout)
 
-    async def borrow(self, address: Address, asked: BorrowAsked) -> int:
-        """Ask for a part of a limit; return how much was granted."""
-        message = peerwire.borrow_to_wire(asked)
+    async def borrow(self, address: Address, request: PeerBorrowRequest) -> int:
+        """Ask to borrow part of a limit; return the granted amount."""
+        message = peerwire.borrow_to_wire(request)
 
         async def call(stub: PeerStub) -> int:
             reply = await stub.Borrow(message)
-            return int(reply.granted) if reply.transfer_id == asked.transfer_id else 0
+            return int(reply.granted) if reply.transfer_id == request.transfer_id else 0
 
         return await self._call(address, call, self._settings.timeout)
 
     def close_idle(self) -> None:
-        """Close connections that had no call for long."""
+        """Close the connections that were idle for longer than the idle timeout."""
         self.channels.close_idle()
 
     async def _call(
         self, address: Address, call: Callable[[PeerStub], Awaitable[T]], timeout: float
     ) -> T:
-        return await self.channels.call(address, lambda kept: call(PeerStub(kept)), timeout)
+        return await self.channels.call(address, lambda channel: call(PeerStub(channel)), timeout)
 
 
 class _Service(PeerBase):
-    """Hands each message to the handler in its typed form."""
+    """Converts each message and passes it to the handler."""
 
     def __init__(self, handler: PeerHandler) -> None:
         self._handler = handler
 
     async def Probe(self, stream: Stream[pb.ProbeRequest, pb.ProbeReply]) -> None:  # noqa: N802
-        """Serve a probe."""
+        """Handle a probe."""
         probe = _decode(peerwire.probe_from_wire, await stream.recv_message())
-        await stream.send_message(peerwire.reply_to_wire(self._handler.probed(probe)))
+        await stream.send_message(peerwire.reply_to_wire(self._handler.on_probe(probe)))
 
     async def ProbeVia(self, stream: Stream[pb.ProbeRequest, pb.ProbeReply]) -> None:  # noqa: N802
-        """Serve a probe of another member."""
+        """Handle an indirect probe."""
         probe = _decode(peerwire.probe_from_wire, await stream.recv_message())
-        reply = await self._handler.probed_via(probe)
+        reply = await self._handler.on_probe_via(probe)
         await stream.send_message(peerwire.reply_to_wire(reply))
 
     async def Fetch(self, stream: Stream[pb.ObjectRequest, pb.ObjectCopy]) -> None:  # noqa: N802
-        """Serve an object."""
-        message = _decode(_same, await stream.recv_message())
-        copy = await self._handler.fetched(message.name, message.newer_than)
-        found = pb.ObjectCopy(name=message.name) if copy is None else peerwire.copy_to_wire(copy)
-        await stream.send_message(found)
+        """Handle a request for an object."""
+        message = _decode(_unchanged, await stream.recv_message())
+        copy = await self._handler.on_fetch(message.name, message.newer_than)
+        reply = pb.ObjectCopy(name=message.name) if copy is None else peerwire.copy_to_wire(copy)
+        await stream.send_message(reply)
 
     async def Offer(self, stream: Stream[pb.ObjectCopy, pb.OfferReply]) -> None:  # noqa: N802
-        """Take an object."""
+        """Handle an offered object."""
         copy = _decode(peerwire.copy_from_wire, await stream.recv_message())
-        version = await self._handler.offered(copy)
+        version = await self._handler.on_offer(copy)
         await stream.send_message(pb.OfferReply(version=version))
 
     async def Borrow(self, stream: Stream[pb.BorrowRequest, pb.BorrowReply]) -> None:  # noqa: N802
-        """Serve a loan."""
-        asked = _decode(peerwire.borrow_from_wire, await stream.recv_message())
+        """Handle a borrow request."""
+        request = _decode(peerwire.borrow_from_wire, await stream.recv_message())
         reply = pb.BorrowReply(
-            transfer_id=asked.transfer_id,
-            granted=self._handler.asked_to_lend(asked),
-            lifetime_ms=round(asked.lifetime * 1_000),
+            transfer_id=request.transfer_id,
+            granted=self._handler.on_borrow(request),
+            lifetime_ms=round(request.lifetime * 1_000),
         )
         await stream.send_message(reply)
 
@@ -212,7 +213,7 @@
 
 
 def _decode(decode: Callable[[M], T], message: M | None) -> T:
-    """Return the typed form of a message; a malformed one is refused, not a fault of ours."""
+    """Return the typed form of a message; reject a malformed one with INVALID_ARGUMENT."""
     if message is None:
         raise GRPCError(Status.INVALID_ARGUMENT, "no message")
     try:
@@ -221,5 +222,5 @@
         raise GRPCError(Status.INVALID_ARGUMENT, str(error)) from None
 
 
-def _same(message: M) -> M:
+def _unchanged(message: M) -> M:
     return message
--- a/briarspur/peerwire.py
+++ b/briarspur/peerwire.py
@@ -1,4 +1,4 @@
-"""Conversion between the typed messages of entries and their protobuf form."""
+"""Conversion between the typed messages of entries and their protobuf messages."""
 
 from collections.abc import Iterable
 
@@ -6,7 +6,14 @@
 from briarspur.coord.members import Member, MemberState, MemberUpdate
 from briarspur.coord.quarantine import Verdict
 from briarspur.exchange import LeavingNotice, News
-from briarspur.gossip import BorrowAsked, Gossip, ObjectCopy, ObjectVersion, PeerProbe, PeerReply
+from briarspur.gossip import (
+    Gossip,
+    ObjectCopy,
+    ObjectVersion,
+    PeerBorrowRequest,
+    PeerProbe,
+    PeerReply,
+)
 from briarspur.loads import LoadReport
 
 __all__ = [
@@ -22,11 +29,11 @@
     "updates_to_wire",
 ]
 
-MS = 1_000
+MS_PER_S = 1_000
 
 
 def probe_to_wire(probe: PeerProbe) -> pb.ProbeRequest:
-    """Return the wire form of a probe."""
+    """Convert a probe to its wire form."""
     return pb.ProbeRequest(
         sender=probe.sender,
         receiver=probe.receiver,
@@ -36,19 +43,19 @@
 
 
 def probe_from_wire(message: pb.ProbeRequest) -> PeerProbe:
-    """Return the probe of a message.
+    """Convert a probe from its wire form.
 
     Raises
     ------
     ValueError
-        A field is out of range.
+        If a field is out of range.
     """
     gossip = _gossip_from_wire(message.piggyback)
     return PeerProbe(message.sender, message.receiver, message.number, gossip)
 
 
 def reply_to_wire(reply: PeerReply) -> pb.ProbeReply:
-    """Return the wire form of a reply."""
+    """Convert a reply to its wire form."""
     return pb.ProbeReply(
         sender=reply.sender,
         number=reply.number,
@@ -58,56 +65,62 @@
 
 
 def reply_from_wire(message: pb.ProbeReply) -> PeerReply:
-    """Return the reply of a message; ValueError if a field is out of range."""
+    """Convert a reply from its wire form.
+
+    Raises
+    ------
+    ValueError
+        If a field is out of range.
+    """
     gossip = _gossip_from_wire(message.piggyback)
     return PeerReply(message.sender, message.number, message.acknowledged, gossip)
 
 
 def copy_to_wire(copy: ObjectCopy) -> pb.ObjectCopy:
-    """Return the wire form of an object."""
+    """Convert an object to its wire form."""
     return pb.ObjectCopy(name=copy.name, version=copy.version, digest=copy.digest, value=copy.value)
 
 
 def copy_from_wire(message: pb.ObjectCopy) -> ObjectCopy:
-    """Return the object of a message."""
+    """Convert an object from its wire form."""
     return ObjectCopy(message.name, message.version, message.digest, message.value)
 
 
-def borrow_to_wire(asked: BorrowAsked) -> pb.BorrowRequest:
-    """Return the wire form of a request to borrow."""
+def borrow_to_wire(request: PeerBorrowRequest) -> pb.BorrowRequest:
+    """Convert a borrow request to its wire form."""
     return pb.BorrowRequest(
-        sender=asked.sender,
-        resource=asked.resource,
-        amount=asked.amount,
-        transfer_id=asked.transfer_id,
-        lifetime_ms=_to_ms(asked.lifetime),
+        sender=request.sender,
+        resource=request.resource,
+        amount=request.amount,
+        transfer_id=request.transfer_id,
+        lifetime_ms=_to_ms(request.lifetime),
     )
 
 
-def borrow_from_wire(message: pb.BorrowRequest) -> BorrowAsked:
-    """Return the request to borrow of a message."""
-    return BorrowAsked(
+def borrow_from_wire(message: pb.BorrowRequest) -> PeerBorrowRequest:
+    """Convert a borrow request from its wire form."""
+    return PeerBorrowRequest(
         message.sender,
         message.resource,
         message.amount,
         message.transfer_id,
-        message.lifetime_ms / MS,
+        message.lifetime_ms / MS_PER_S,
     )
 
 
 def updates_to_wire(updates: Iterable[MemberUpdate]) -> bytes:
-    """Return facts about members as one value, for a process that has just begun."""
+    """Encode updates about members as one value, for a process that has just started."""
     message = pb.Piggyback(members=[_update_to_wire(update) for update in updates])
     return message.SerializeToString()
 
 
 def updates_from_wire(value: bytes) -> tuple[MemberUpdate, ...]:
-    """Return the facts of a value made by :func:`updates_to_wire`.
+    """Decode a value that :func:`updates_to_wire` encoded.
 
     Raises
     ------
     ValueError
-        The value is not of that form.
+        If the value is malformed.
     """
     message = pb.Piggyback()
     try:
@@ -149,7 +162,7 @@
             for load in message.loads
         ),
         verdicts=tuple(_verdict_from_wire(verdict) for verdict in message.verdicts),
-        leaving=tuple(LeavingNotice(n.target_id, n.age_ms / MS) for n in message.leaving),
+        leaving=tuple(LeavingNotice(n.target_id, n.age_ms / MS_PER_S) for n in message.leaving),
     )
     return Gossip(
         updates=tuple(_update_from_wire(update) for update in message.members),
@@ -203,10 +216,10 @@
         message.digest,
         message.crashes,
         message.quarantined,
-        message.age_ms / MS,
-        message.lifetime_ms / MS,
+        message.age_ms / MS_PER_S,
+        message.lifetime_ms / MS_PER_S,
     )
 
 
 def _to_ms(seconds: float) -> int:
-    return max(0, round(seconds * MS))
+    return max(0, round(seconds * MS_PER_S))
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -59,7 +59,7 @@
         if self.failures:
             self.failures -= 1
             raise PeerError("cut")
-        return await self.peering_by_port[address.port].fetched(name, newer_than)
+        return await self.peering_by_port[address.port].on_fetch(name, newer_than)
 
 
 class MembersAtStartTest(unittest.IsolatedAsyncioTestCase):
@@ -97,7 +97,7 @@
         wire.failures = 1
         for number in (1, 2):
             probe = PeerProbe("entry-0", "", number, Gossip(updates=old.snapshot()[:1]))
-            fresh.probed(probe)
+            fresh.on_probe(probe)
             for _ in range(5):
                 await asyncio.sleep(0)
         self.assertEqual(len(newcomer.live()), MEMBERS + 1)
@@ -105,6 +105,6 @@
     async def test_members_are_an_object_that_peers_can_fetch(self) -> None:
         wire = Wire()
         peering = self.peering(Membership(member(0), random.Random(1)), wire)
-        copy = await peering.fetched(MEMBERS_NAME, 0)
+        copy = await peering.on_fetch(MEMBERS_NAME, 0)
         assert copy is not None
         self.assertGreater(len(copy.value), 0)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the gRPC shell between entries."""
+"""Tests of the gRPC server and client between entries."""
 
 import asyncio
 import unittest
@@ -8,7 +8,14 @@
 from briarspur.coord.quarantine import Verdict
 from briarspur.errors import PeerError
 from briarspur.exchange import LeavingNotice, News
-from briarspur.gossip import BorrowAsked, Gossip, ObjectCopy, ObjectVersion, PeerProbe, PeerReply
+from briarspur.gossip import (
+    Gossip,
+    ObjectCopy,
+    ObjectVersion,
+    PeerBorrowRequest,
+    PeerProbe,
+    PeerReply,
+)
 from briarspur.loads import LoadReport
 from briarspur.peers import PeerClient, PeerClientSettings, PeerServer
 from briarspur.peerwire import updates_from_wire, updates_to_wire
@@ -27,34 +34,34 @@
 
 
 class EchoHandler:
-    """Answers with what it got; some calls never end."""
+    """Echoes probes and keeps offered objects; offers hang while ``hang`` is set."""
 
     def __init__(self) -> None:
         self.copies = {"policy": ObjectCopy("policy", 4, b"digest", b"{}")}
         self.hang = False
 
-    def probed(self, probe: PeerProbe) -> PeerReply:
+    def on_probe(self, probe: PeerProbe) -> PeerReply:
         return PeerReply("entry-2", probe.number, True, probe.gossip)
 
-    async def probed_via(self, probe: PeerProbe) -> PeerReply:
+    async def on_probe_via(self, probe: PeerProbe) -> PeerReply:
         return PeerReply("entry-2", probe.number, False, probe.gossip)
 
-    async def fetched(self, name: str, newer_than: int) -> ObjectCopy | None:
+    async def on_fetch(self, name: str, newer_than: int) -> ObjectCopy | None:
         copy = self.copies.get(name)
         return copy if copy is not None and copy.version > newer_than else None
 
-    async def offered(self, copy: ObjectCopy) -> int:
+    async def on_offer(self, copy: ObjectCopy) -> int:
         if self.hang:
             await asyncio.sleep(60.0)
         self.copies[copy.name] = copy
         return copy.version
 
-    def asked_to_lend(self, asked: BorrowAsked) -> int:
-        return min(asked.amount, 2)
+    def on_borrow(self, request: PeerBorrowRequest) -> int:
+        return min(request.amount, 2)
 
 
 class PeersTest(unittest.IsolatedAsyncioTestCase):
-    """Messages pass whole, and failures have one type."""
+    """Messages arrive complete, and every failure is a PeerError."""
 
     async def asyncSetUp(self) -> None:
         self.handler = EchoHandler()
@@ -62,38 +69,38 @@
         port = free_port("127.0.0.1")
         await self.server.start("127.0.0.1", port)
         self.address = Address("127.0.0.1", port)
-        self.client = PeerClient(PeerClientSettings(fetch_timeout=0.2, channels=2))
+        self.client = PeerClient(PeerClientSettings(fetch_timeout=0.2, max_channels=2))
 
     async def asyncTearDown(self) -> None:
         self.client.close()
         await self.server.close()
 
-    async def test_probe_carries_everything(self) -> None:
+    async def test_probe_and_reply_carry_all_gossip(self) -> None:
         probe = PeerProbe("entry-1", "entry-2", 5, GOSSIP)
         reply = await self.client.probe(self.address, probe)
         self.assertEqual(reply, PeerReply("entry-2", 5, True, GOSSIP))
         reply = await self.client.probe_via(self.address, probe)
         self.assertFalse(reply.acknowledged)
 
-    async def test_objects_pass_both_ways(self) -> None:
+    async def test_objects_are_fetched_and_offered(self) -> None:
         self.assertIsNone(await self.client.fetch(self.address, "policy", 4))
         self.assertIsNone(await self.client.fetch(self.address, "plan", 0))
         newer = ObjectCopy("policy", 5, b"other", b"x" * 1_000_000)
         self.assertEqual(await self.client.offer(self.address, newer), 5)
         self.assertEqual(await self.client.fetch(self.address, "policy", 4), newer)
 
-    async def test_loans(self) -> None:
-        asked = BorrowAsked("entry-1", "in-flight/north", 5, "t1", 10.0)
-        self.assertEqual(await self.client.borrow(self.address, asked), 2)
+    async def test_borrow_returns_the_granted_amount(self) -> None:
+        request = PeerBorrowRequest("entry-1", "in-flight/north", 5, "t1", 10.0)
+        self.assertEqual(await self.client.borrow(self.address, request), 2)
 
-    async def test_silence_and_refused_connections_are_peer_errors(self) -> None:
+    async def test_timeouts_and_refused_connections_raise_peer_errors(self) -> None:
         self.handler.hang = True
         with self.assertRaises(PeerError):
             await self.client.offer(self.address, ObjectCopy("policy", 9, b"", b""))
         with self.assertRaises(PeerError):
             await self.client.fetch(Address("127.0.0.1", 1), "policy", 0)
 
-    async def test_connections_are_bounded(self) -> None:
+    async def test_failed_connections_are_not_kept(self) -> None:
         for host in ("127.0.0.1", "127.0.0.2", "127.0.0.3"):
             with self.assertRaises(PeerError):
                 await self.client.fetch(Address(host, 1), "policy", 0)
@@ -101,7 +108,7 @@
         await self.client.fetch(self.address, "policy", 0)
         self.assertEqual(len(self.client.channels), 1)
 
-    def test_members_as_one_value(self) -> None:
+    def test_member_updates_survive_encoding(self) -> None:
         self.assertEqual(updates_from_wire(updates_to_wire(GOSSIP.updates)), GOSSIP.updates)
         with self.assertRaises(ValueError):
             updates_from_wire(b"\xff\xff")
--- a/tools/limitcost.py
+++ b/tools/limitcost.py
@@ -17,7 +17,7 @@
 from briarspur.coord.membership import Membership
 from briarspur.coord.rendezvous import owners
 from briarspur.coord.shift import ShiftBudget, ShiftCap
-from briarspur.gossip import BorrowAsked, Gossip, ObjectCopy, PeerProbe, PeerReply
+from briarspur.gossip import Gossip, ObjectCopy, PeerBorrowRequest, PeerProbe, PeerReply
 from briarspur.peers import PeerClient, PeerServer
 from standins.ports import free_port
 
@@ -110,23 +110,23 @@
 class Echo:
     """Answers each probe with its own facts."""
 
-    def probed(self, probe: PeerProbe) -> PeerReply:
+    def on_probe(self, probe: PeerProbe) -> PeerReply:
         """Answer."""
         return PeerReply("entry-1", probe.number, True, probe.gossip)
 
-    async def probed_via(self, probe: PeerProbe) -> PeerReply:
+    async def on_probe_via(self, probe: PeerProbe) -> PeerReply:
         """Answer."""
-        return self.probed(probe)
+        return self.on_probe(probe)
 
-    async def fetched(self, name: str, newer_than: int) -> ObjectCopy | None:
+    async def on_fetch(self, name: str, newer_than: int) -> ObjectCopy | None:
         """Have nothing."""
         return None
 
-    async def offered(self, copy: ObjectCopy) -> int:
+    async def on_offer(self, copy: ObjectCopy) -> int:
         """Take nothing."""
         return 0
 
-    def asked_to_lend(self, asked: BorrowAsked) -> int:
+    def on_borrow(self, asked: PeerBorrowRequest) -> int:
         """Lend nothing."""
         return 0
 
