--- a/briarspur/entry.py
+++ b/briarspur/entry.py
@@ -224,11 +224,11 @@
         gc.freeze()
         self._server.arrivals = self._carrier
         self._peering = self._make_peering(core)
-        self._peering.show_view()
+        self._peering.publish_view()
         self._peer_server = PeerServer(self._peering)
         self._start(self._peer_server.start(self.settings.host, self.settings.peer_port))
         self._start(self._peering.run())
-        self._start(self._peering.follow_list())
+        self._start(self._peering.poll_vm_list())
 
     def _make_peering(self, core: Core) -> Peering:
         settings = self.settings
@@ -250,7 +250,7 @@
             client=self._peers,
             vms=self._vms,
             on_view=self._view_changed,
-            load=self.node.load_report,
+            load_report=self.node.load_report,
             clock=self._clock.monotonic,
             rng=self._rng,
             times=PeeringTimes(period=settings.probe_interval_s),
--- a/briarspur/peering.py
+++ b/briarspur/peering.py
@@ -1,4 +1,4 @@
-"""Drives membership and the exchange with other entries: probes, objects, loans of limits."""
+"""Drives membership and the exchange between entries: probes, objects and loans of limits."""
 
 import asyncio
 import logging
@@ -31,43 +31,44 @@
 __all__ = ["Peering", "PeeringTimes", "VmReader"]
 
 MEMBERS_NAME = "members"
-"""Name under which entries hand all they know of the members to a new one; never in the store."""
-MEMBERS_ASKED = 3
-MOST_TASKS = 64
-"""Calls to other entries at once; more are left out, and the next period makes new ones."""
+"""Name under which a new entry fetches a snapshot of the members; never in the store."""
+MAX_SNAPSHOT_PEERS = 3
+MAX_CALLS = 64
+"""Maximum concurrent calls to other entries. Calls above it are skipped; the next period starts new
+ones."""
 
 
 class VmReader(Protocol):
     """The platform's list of VMs."""
 
     async def read(self) -> Sequence[Vm]:
-        """Return the VMs; may be old."""
+        """Return the VMs; the list may be stale."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeeringTimes:
-    """Times in seconds.
+    """Intervals in seconds.
 
     Attributes
     ----------
     period : float
-        Between two probes.
-    list_interval : float
-        Mean time between two readings of the VM list; 1,700 entries make 170 calls a second.
+        Mean time between two probes.
+    vm_list_interval : float
+        Mean time between two reads of the VM list. At 10 s, 1,700 entries make 170 calls a second.
     """
 
     period: float = 1.0
-    list_interval: float = 10.0
+    vm_list_interval: float = 10.0
 
 
 class Peering:
-    """One entry's exchange with the others; implements ``PeerHandler``.
+    """Exchanges messages between this entry and the others; implements ``PeerHandler``.
 
     Parameters
     ----------
     on_view : callable
-        Gets each new view of the live entries.
-    load : callable
+        Called with each new view of the live entries.
+    load_report : callable
         Returns this entry's load report, for the planner.
     """
 
@@ -79,7 +80,7 @@
         client: PeerClient,
         vms: VmReader,
         on_view: Callable[[MemberView], None],
-        load: Callable[[], bytes],
+        load_report: Callable[[], bytes],
         clock: Callable[[], float],
         rng: random.Random,
         times: PeeringTimes,
@@ -90,188 +91,193 @@
         self._client = client
         self._vms = vms
         self._on_view = on_view
-        self._load = load
+        self._load_report = load_report
         self._clock = clock
         self._rng = rng
         self._times = times
         self._joining = Joining(times.period)
-        self._shown_version = -1
-        self._view_is_held = False
+        self._published_version = -1
+        self._is_publishing_paused = False
         self._stopped = False
         self._joined = False
-        self._knows_all = False
-        self._is_learning = False
-        self._shown_at = -float("inf")
+        self._has_snapshot = False
+        self._is_loading_snapshot = False
+        self._published_at = -float("inf")
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def _me(self) -> str:
+    def _entry_id(self) -> str:
         return self._membership.own_member.member_id
 
-    # What others ask; see PeerHandler
+    # Messages of other entries; see PeerHandler
 
     def on_probe(self, probe: PeerProbe) -> PeerReply:
-        """Answer a probe."""
+        """Reply to a probe."""
         if self._stopped:
-            # A kept connection may outlive the listening port; its last answers would keep a
-            # stopped entry in the view of the others.
+            # An open connection may outlive the listening port. Replies on it would keep a stopped
+            # entry in the view of the others.
             raise GRPCError(Status.UNAVAILABLE, "stopped")
         now = self._clock()
         updates = self._membership.on_probe(Probe(probe.sender, probe.gossip.updates), now)
-        self._heard(probe.sender, probe.gossip)
-        return PeerReply(self._me, probe.number, True, self._gossip(updates))
+        self._record_gossip(probe.sender, probe.gossip)
+        return PeerReply(self._entry_id, probe.number, True, self._gossip(updates))
 
     async def on_probe_via(self, probe: PeerProbe) -> PeerReply:
-        """Probe ``probe.receiver`` for the sender, and say whether it answered."""
+        """Probe ``probe.receiver`` on behalf of the sender; report whether it replied."""
         updates = self._membership.on_probe(
             Probe(probe.sender, probe.gossip.updates), self._clock()
         )
         member = self._membership.member(probe.receiver)
         acknowledged = False
         if member is not None:
-            asked = PeerProbe(self._me, probe.receiver, probe.number, self._gossip(updates))
+            forwarded = PeerProbe(
+                self._entry_id, probe.receiver, probe.number, self._gossip(updates)
+            )
             try:
-                reply = await self._client.probe(member.address, asked)
+                reply = await self._client.probe(member.address, forwarded)
                 acknowledged = reply.acknowledged
             except PeerError:
                 acknowledged = False
-        return PeerReply(self._me, probe.number, acknowledged, self._gossip(updates))
+        return PeerReply(self._entry_id, probe.number, acknowledged, self._gossip(updates))
 
     async def on_fetch(self, name: str, newer_than: int) -> ObjectCopy | None:
-        """Return the object if the version in force here is above ``newer_than``."""
+        """Return the object if the version in force here is above ``newer_than``, or None."""
         if name == LOAD_NAME:
-            return ObjectCopy(LOAD_NAME, newer_than + 1, b"", self._load())
+            return ObjectCopy(LOAD_NAME, newer_than + 1, b"", self._load_report())
         if name == MEMBERS_NAME:
             value = updates_to_wire(self._membership.snapshot())
             return ObjectCopy(MEMBERS_NAME, newer_than + 1, b"", value)
         return self._follow.copy(name, newer_than)
 
     async def on_offer(self, copy: ObjectCopy) -> int:
-        """Take an object, if it is newer; return the version in force here afterwards."""
+        """Apply an object if it is newer; return the version then in force here."""
         return self._follow.offered(copy)
 
-    def on_borrow(self, asked: PeerBorrowRequest) -> int:
-        """Grant a part of a limit; return how much."""
+    def on_borrow(self, request: PeerBorrowRequest) -> int:
+        """Lend part of a limit; return the granted amount."""
         return self._core.exchange.lend(
-            asked.resource, asked.transfer_id, asked.amount, asked.lifetime, self._clock()
+            request.resource, request.transfer_id, request.amount, request.lifetime, self._clock()
         )
 
-    # What is done unasked
+    # Periodic work
 
     async def run(self) -> None:
-        """Probe in every period, until cancelled."""
+        """Probe other entries in every period, until cancelled."""
         while True:
             now = self._clock()
-            self._send(self._membership.tick(now))
+            self._start_probes(self._membership.tick(now))
             self._borrow(now)
-            self.show_view()
+            self.publish_view()
             self._client.close_idle()
             await asyncio.sleep(self._times.period * (0.9 + 0.2 * self._rng.random()))
 
-    async def follow_list(self) -> None:
-        """Read the VM list now and then, until cancelled."""
+    async def poll_vm_list(self) -> None:
+        """Read the VM list at random intervals, until cancelled."""
         while True:
             try:
                 listed = await self._vms.read()
                 addresses = [Address(vm.host, vm.peer_port) for vm in listed]
                 self._membership.set_listed_addresses(addresses, self._clock())
-                if not self._knows_all:
-                    await self._learn_all(addresses)
-                self.show_view()
+                if not self._has_snapshot:
+                    await self._load_snapshot(addresses)
+                self.publish_view()
             except StoreError as error:
                 logs.event("store-unavailable", logging.WARNING, object="vms", error=str(error))
-            await asyncio.sleep(self._times.list_interval * (0.5 + self._rng.random()))
+            await asyncio.sleep(self._times.vm_list_interval * (0.5 + self._rng.random()))
 
     def address_of(self, entry_id: str) -> Address | None:
-        """Return the address of a member, None if it is not known."""
+        """Return the address of a member, or None if the member is unknown."""
         member = self._membership.member(entry_id)
         return member.address if member is not None else None
 
-    async def _learn_all(self, addresses: list[Address]) -> None:
-        """Ask other entries, one after the other, for all they know of the members.
+    async def _load_snapshot(self, addresses: list[Address]) -> None:
+        """Load a snapshot of the members from the first of a few entries that replies.
 
-        Probes carry a few facts each. Of many entries a new one would learn so slowly that it took
-        itself for the owner of targets that others have, long after it began to serve.
+        A probe carries only a few updates. In a large fleet, a new entry that relied on probes
+        would be unaware of other members long after it began to serve, and would consider itself
+        the owner of their targets.
         """
         others = [
             address for address in addresses if address != self._membership.own_member.address
         ]
-        for address in self._rng.sample(others, min(MEMBERS_ASKED, len(others))):
-            await self._learn_from(address)
-            if self._knows_all:
+        for address in self._rng.sample(others, min(MAX_SNAPSHOT_PEERS, len(others))):
+            await self._load_snapshot_from(address)
+            if self._has_snapshot:
                 return
 
-    async def _learn_from(self, address: Address) -> None:
-        """Ask one entry for all it knows of the members."""
-        self._is_learning = True
+    async def _load_snapshot_from(self, address: Address) -> None:
+        """Load a snapshot of the members from one entry."""
+        self._is_loading_snapshot = True
         try:
             copy = await self._client.fetch(address, MEMBERS_NAME, ABSENT)
             if copy is not None:
                 self._membership.load_snapshot(updates_from_wire(copy.value), self._clock())
-                self._knows_all = True
-                self.show_view()
+                self._has_snapshot = True
+                self.publish_view()
         except (PeerError, ValueError) as error:
             logs.event("peer-unavailable", object=MEMBERS_NAME, error=str(error))
         finally:
-            self._is_learning = False
+            self._is_loading_snapshot = False
 
     def leave(self) -> None:
-        """Say that this entry takes no new work, to its whole region at once.
+        """Announce to all entries of the region at once that this entry is leaving.
 
-        The others take its targets over as they hear of it. If this entry let go of them before
-        that, nobody would own them for up to some probe periods, and callers would be refused in
-        the middle of a planned stop. So its own view follows when the region has answered.
+        The others take over its targets when they receive the announcement. If this entry released
+        its targets earlier, they would have no owner for up to several probe periods and callers
+        would be refused during a planned stop. So this entry's own view changes only after the
+        region has replied.
         """
         self._membership.leave(self._clock())
-        self._view_is_held = True
+        self._is_publishing_paused = True
         task = asyncio.get_running_loop().create_task(
-            self._announce(self._membership.probes_of_region())
+            self._announce_leaving(self._membership.probes_of_region())
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _announce(self, probes: list[OutgoingProbe]) -> None:
-        """Send probes and wait for the replies, but no longer than one period."""
+    async def _announce_leaving(self, probes: list[OutgoingProbe]) -> None:
+        """Send probes, wait for the replies for at most one period, then publish the view."""
         sending = [asyncio.ensure_future(self._probe(probe)) for probe in probes]
         if sending:
             await asyncio.wait(sending, timeout=self._times.period)
-        self._view_is_held = False
-        self.show_view()
+        self._is_publishing_paused = False
+        self.publish_view()
 
     def stop(self) -> None:
-        """Answer no more probes."""
+        """Reject all further probes."""
         self._stopped = True
 
-    def show_view(self) -> None:
-        """Hand on the view of the live entries if it changed, once there is one to trust."""
+    def publish_view(self) -> None:
+        """Publish the view of the live entries if it changed and this entry has joined."""
         if not self._has_joined():
             return
-        if self._view_is_held or self._membership.view_version == self._shown_version:
+        if self._is_publishing_paused or self._membership.view_version == self._published_version:
             return
-        self._shown_version = self._membership.view_version
-        self._shown_at = self._clock()
+        self._published_version = self._membership.view_version
+        self._published_at = self._clock()
         self._on_view(self.view())
 
     def _has_joined(self) -> bool:
         if not self._joined:
             membership = self._membership
-            unheard, has_contact = membership.count_unknown_addresses(), membership.has_contact()
-            self._joined = self._joining.joined(has_contact, unheard, self._clock())
+            unknown, has_contact = membership.count_unknown_addresses(), membership.has_contact()
+            self._joined = self._joining.joined(has_contact, unknown, self._clock())
         return self._joined
 
-    def _show_view_in_time(self, sender: str) -> None:
-        """Hand a changed view on, but once a period at most.
+    def _publish_view_throttled(self, sender: str) -> None:
+        """Publish a changed view at most once per period, unless the sender is leaving.
 
-        A new view costs time that grows with the fleet. When an availability zone is lost, its
-        entries go one by one; each would make every entry work out owners and look-ups anew. Only
-        the word of an entry that leaves is taken at once: it lets go of its targets on our reply.
+        The cost of a new view grows with the size of the fleet. When an availability zone fails,
+        its entries are removed one by one, and each removal would make every entry recompute owners
+        and look-ups. A leaving entry is handled immediately because it releases its targets when it
+        receives the reply.
         """
         is_leaving = self._membership.state(sender) is MemberState.LEAVING
-        if is_leaving or self._clock() - self._shown_at >= self._times.period:
-            self.show_view()
+        if is_leaving or self._clock() - self._published_at >= self._times.period:
+            self.publish_view()
 
     def view(self) -> MemberView:
-        """Return the live entries, this one and leaving ones included."""
+        """Return the live entries, including this one and leaving ones."""
         by_id = {}
         for member in self._membership.reachable():
             address = EntryAddress(
@@ -291,55 +297,59 @@
         news = self._core.exchange.news(self._clock())
         return Gossip(updates, self._follow.versions(), news)
 
-    def _heard(self, sender: str, gossip: Gossip) -> None:
+    def _record_gossip(self, sender: str, gossip: Gossip) -> None:
         self._core.exchange.record_news(gossip.news, self._clock())
-        self._show_view_in_time(sender)
+        self._publish_view_throttled(sender)
         self._follow.heard(sender, gossip.objects)
         member = self._membership.member(sender)
-        # Without the VM list, whoever is heard first is asked.
-        if member is not None and not self._knows_all and not self._is_learning:
-            self._start(self._learn_from(member.address))
+        # The VM list may be unavailable, so load the snapshot from the first sender.
+        if member is not None and not self._has_snapshot and not self._is_loading_snapshot:
+            self._start_call(self._load_snapshot_from(member.address))
 
-    def _send(self, probes: list[OutgoingProbe]) -> None:
+    def _start_probes(self, probes: list[OutgoingProbe]) -> None:
         for probe in probes:
-            self._start(self._probe(probe))
+            self._start_call(self._probe(probe))
 
     async def _probe(self, probe: OutgoingProbe) -> None:
-        asked = PeerProbe(self._me, probe.receiver, probe.number, self._gossip(probe.updates))
+        message = PeerProbe(
+            self._entry_id, probe.receiver, probe.number, self._gossip(probe.updates)
+        )
         call = self._client.probe_via if probe.is_indirect else self._client.probe
         try:
-            reply = await call(probe.address, asked)
+            reply = await call(probe.address, message)
         except PeerError:
-            self._send(self._membership.on_timeout(probe.number, self._clock()))
+            self._start_probes(self._membership.on_timeout(probe.number, self._clock()))
             return
-        answer = Reply(reply.sender, probe.number, reply.acknowledged, reply.gossip.updates)
-        more = self._membership.on_reply(answer, self._clock())
-        self._heard(reply.sender, reply.gossip)
-        self._send(more)
+        member_reply = Reply(reply.sender, probe.number, reply.acknowledged, reply.gossip.updates)
+        next_probes = self._membership.on_reply(member_reply, self._clock())
+        self._record_gossip(reply.sender, reply.gossip)
+        self._start_probes(next_probes)
 
     def _borrow(self, now: float) -> None:
         view = self._core.view
-        wanted = self._core.exchange.next_borrow_request(view, self._rng, now)
-        if wanted is None or wanted.entry_id not in view.by_id:
+        request = self._core.exchange.next_borrow_request(view, self._rng, now)
+        if request is None or request.entry_id not in view.by_id:
             return
-        address = view.by_id[wanted.entry_id].address
-        asked = PeerBorrowRequest(
-            self._me, wanted.resource, wanted.amount, wanted.transfer_id, wanted.lifetime
+        address = view.by_id[request.entry_id].address
+        message = PeerBorrowRequest(
+            self._entry_id, request.resource, request.amount, request.transfer_id, request.lifetime
         )
 
-        async def ask() -> None:
+        async def borrow() -> None:
             try:
-                granted = await self._client.borrow(Address(address.host, address.peer_port), asked)
+                granted = await self._client.borrow(
+                    Address(address.host, address.peer_port), message
+                )
             except PeerError:
                 return
-            self._core.exchange.add_borrowed(wanted, granted)
+            self._core.exchange.add_borrowed(request, granted)
 
-        self._start(ask())
+        self._start_call(borrow())
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        if len(self._tasks) >= MOST_TASKS:
-            work.close()
+    def _start_call(self, call: Coroutine[Any, Any, None]) -> None:
+        if len(self._tasks) >= MAX_CALLS:
+            call.close()
             return
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(call)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -1,4 +1,4 @@
-"""Tests of the exchange between entries, over a peer client in memory."""
+"""Tests of the exchange between entries, with an in-memory peer client."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 from briarspur.peering import MEMBERS_NAME, Peering, PeeringTimes
 from briarspur.peers import PeerClient
 
-MEMBERS = 60
+MEMBER_COUNT = 60
 
 
 def member(number: int) -> Member:
@@ -24,11 +24,11 @@
     return Member(name, f"p{number}", "north", "north-a", "127.0.0.1", 1, 2, 1_000 + number)
 
 
-class QuietCore:
-    """A core without news."""
+class NullCore:
+    """A core that has no news and ignores news."""
 
     @property
-    def exchange(self) -> "QuietCore":
+    def exchange(self) -> "NullCore":
         return self
 
     def news(self, now: float) -> News:
@@ -38,8 +38,8 @@
         pass
 
 
-class NothingFollowed:
-    """No objects."""
+class NullFollow:
+    """Follows no objects."""
 
     def versions(self) -> tuple[()]:
         return ()
@@ -48,8 +48,8 @@
         pass
 
 
-class Wire:
-    """Hands fetches to the entry at an address; the first ones fail if told so."""
+class InMemoryClient:
+    """Passes fetches to the entry at an address; the first ``failures`` fetches fail."""
 
     def __init__(self) -> None:
         self.peering_by_port: dict[int, Peering] = {}
@@ -62,49 +62,50 @@
         return await self.peering_by_port[address.port].on_fetch(name, newer_than)
 
 
-class MembersAtStartTest(unittest.IsolatedAsyncioTestCase):
-    """A fresh entry gets to know all others at once."""
+class MemberSnapshotTest(unittest.IsolatedAsyncioTestCase):
+    """A new entry loads a snapshot of all members."""
 
-    def peering(self, membership: Membership, wire: Wire) -> Peering:
-        made = Peering(
+    def peering(self, membership: Membership, client: InMemoryClient) -> Peering:
+        peering = Peering(
             membership=membership,
-            core=cast(Core, QuietCore()),
-            follow=cast(Follow, NothingFollowed()),
-            client=cast(PeerClient, wire),
+            core=cast(Core, NullCore()),
+            follow=cast(Follow, NullFollow()),
+            client=cast(PeerClient, client),
             vms=cast(Any, None),
             on_view=lambda view: None,
-            load=lambda: b"{}",
+            load_report=lambda: b"{}",
             clock=lambda: 1.0,
             rng=random.Random(1),
             times=PeeringTimes(),
         )
-        wire.peering_by_port[membership.own_member.peer_port] = made
-        return made
+        client.peering_by_port[membership.own_member.peer_port] = peering
+        return peering
 
-    async def test_all_members_are_fetched_on_the_first_contact(self) -> None:
-        """Servers get twice their slots' work when an entry is replaced in a large fleet.
+    async def test_probes_load_all_members_despite_a_failed_fetch(self) -> None:
+        """Guards against servers that get twice the work of their slots.
 
-        The fresh entry knew a few others only, and took over what the rest owned.
+        An entry of a large fleet is replaced. If the new entry knows only a few members, it takes
+        over targets that the others own.
         """
-        wire = Wire()
-        old = Membership(member(0), random.Random(1))
-        newcomer = Membership(member(MEMBERS), random.Random(2))
-        for number in range(1, MEMBERS):
+        client = InMemoryClient()
+        old_membership = Membership(member(0), random.Random(1))
+        new_membership = Membership(member(MEMBER_COUNT), random.Random(2))
+        for number in range(1, MEMBER_COUNT):
             other = Membership(member(number), random.Random(3))
-            old.apply(other.snapshot(), 0.0)
-        self.peering(old, wire)
-        fresh = self.peering(newcomer, wire)
-        wire.failures = 1
+            old_membership.apply(other.snapshot(), 0.0)
+        self.peering(old_membership, client)
+        new_peering = self.peering(new_membership, client)
+        client.failures = 1
         for number in (1, 2):
-            probe = PeerProbe("entry-0", "", number, Gossip(updates=old.snapshot()[:1]))
-            fresh.on_probe(probe)
+            probe = PeerProbe("entry-0", "", number, Gossip(updates=old_membership.snapshot()[:1]))
+            new_peering.on_probe(probe)
             for _ in range(5):
                 await asyncio.sleep(0)
-        self.assertEqual(len(newcomer.live()), MEMBERS + 1)
+        self.assertEqual(len(new_membership.live()), MEMBER_COUNT + 1)
 
-    async def test_members_are_an_object_that_peers_can_fetch(self) -> None:
-        wire = Wire()
-        peering = self.peering(Membership(member(0), random.Random(1)), wire)
+    async def test_peers_can_fetch_the_member_snapshot(self) -> None:
+        client = InMemoryClient()
+        peering = self.peering(Membership(member(0), random.Random(1)), client)
         copy = await peering.on_fetch(MEMBERS_NAME, 0)
         assert copy is not None
         self.assertGreater(len(copy.value), 0)
