--- a/briarspur/entry.py
+++ b/briarspur/entry.py
@@ -86,7 +86,7 @@
         if settings.statsd is not None:
             self._metrics = StatsdMetrics(settings.statsd)
         self.node = self.node_type(settings, self._incarnation, self._metrics, self._clock)
-        self.node.on_core = self._core_made
+        self.node.on_core_created = self._core_made
         self._follow = self._make_follow()
         self.node.is_current = lambda: self._follow.is_ready(POLICY_NAME)
         self._carrier: Carrier | None = None
@@ -258,8 +258,8 @@
 
     def _make_follow(self) -> Follow:
         takers_by_name = {
-            POLICY_NAME: self.node.policy_stored,
-            PLAN_NAME: self.node.plan_stored,
+            POLICY_NAME: self.node.load_policy,
+            PLAN_NAME: self.node.load_plan,
         }
         followers = [Follower(name, _reader(take)) for name, take in takers_by_name.items()]
         peers = MemberPeers(self._peers, self._address_of)
--- a/briarspur/node.py
+++ b/briarspur/node.py
@@ -1,4 +1,4 @@
-"""What an entry has in force: policy, members, look-ups; and what it says of itself."""
+"""The state of an entry around its decision core: policy, plan, members, look-ups and status."""
 
 import logging
 import random
@@ -33,13 +33,13 @@
 
 __all__ = ["EntryNode", "NodeClock"]
 
-NOT_READY_RETRY_AFTER = 1.0
-WHOLE_ANSWERS = frozenset({Code.ANSWERED, Code.REPLAYED})
+NOT_READY_RETRY_AFTER_S = 1.0
+SERVICE_ANSWERS = frozenset({Code.ANSWERED, Code.REPLAYED})
 
 
 @dataclass(frozen=True, slots=True)
 class NodeClock:
-    """Monotonic and unix time, both in seconds."""
+    """Monotonic and Unix time, both in seconds."""
 
     monotonic: Callable[[], float] = time.monotonic
     wall: Callable[[], float] = time.time
@@ -51,13 +51,13 @@
     Attributes
     ----------
     core : Core or None
-        None until the first policy says which region the entry is in.
-    on_core : callable
-        Called once, when there is a core; gives it the first view of the members.
+        None until the first policy determines the region of the entry.
+    on_core_created : callable
+        Called once with the new core; supplies it with the first view of the members.
     on_actions : callable
-        Carries out actions that a change of policy or members brings.
+        Performs the actions that result from a change of the policy or the members.
     is_current : callable
-        Returns whether the policy in force is new enough to call callers in.
+        Returns whether the policy in force is recent enough to accept callers.
     """
 
     core_type: type[Core] = Core
@@ -72,31 +72,31 @@
         self.view = MemberView()
         self.pacing = RegionPacing()
         self.leaving = False
-        self.on_core: Callable[[Core], None] = lambda core: None
+        self.on_core_created: Callable[[Core], None] = lambda core: None
         self.on_actions: Callable[[list[Action]], None] = lambda actions: None
         self.is_current: Callable[[], bool] = lambda: True
         self.plan_version = 0
         self._metrics = metrics
         self._clock = clock
-        self._started = clock.monotonic()
-        self._levels = Levels(settings.entry_id, incarnation, settings.zone, self._started)
+        self._started_at = clock.monotonic()
+        self._levels = Levels(settings.entry_id, incarnation, settings.zone, self._started_at)
         self._blocks: BlockTable | None = None
         self._lookups: LookupTable | None = None
-        self._leaving_seen_by_target: dict[str, float] = {}
+        self._leaving_since_by_target: dict[str, float] = {}
         self._plans = PlanOrder()
         self._meter: LoadMeter | None = None
 
     @property
     def region(self) -> str:
-        """The region of this entry's zone; empty until there is a policy that knows the zone."""
+        """The region of this entry's zone; empty until a policy that lists the zone is in force."""
         if self.policy is None:
             return ""
         return self.policy.region_by_zone.get(self.settings.zone, "")
 
-    # What is in force
+    # Policy, plan and members
 
-    def policy_stored(self, stored: StoredObject) -> bool:
-        """Take a newer version of the policy; return whether it came into force."""
+    def load_policy(self, stored: StoredObject) -> bool:
+        """Apply a newer version of the policy if it is valid; return whether it is now in force."""
         try:
             document = decode_revision(stored.value, stored.version).document
         except DocumentError as error:
@@ -107,33 +107,35 @@
         region = self.region
         if region and policy.region_by_zone[self.settings.zone] != region:
             return self._reject(stored, f"moves this entry's zone out of {region}")
-        self._put_in_force(policy)
+        self._apply_policy(policy)
         return True
 
-    def plan_stored(self, stored: StoredObject) -> bool:
-        """Take a newer version of the plan; return whether it came into force."""
+    def load_plan(self, stored: StoredObject) -> bool:
+        """Apply a newer version of the plan if it is valid; return whether it is now in force."""
         envelope = open_envelope(stored.value)
         if envelope.is_error():
             return self._reject(stored, envelope.error)
         if not envelope.ok.body:
-            # A new lease holder raised the term of a plan that was never written.
+            # No plan was written yet; a new lease holder only raised the term.
             return False
         try:
             plan = parse_plan(envelope.ok.body)
         except DocumentError as error:
             return self._reject(stored, str(error))
         if plan == self._plans.in_force:
-            # A new lease holder rewrote the plan under its own term before it makes one.
+            # A new lease holder rewrote the plan under its own term, before it creates a new one.
             self.plan_version = stored.version
             return True
         if not self._plans.accept(plan):
-            return self._reject(stored, f"term {plan.term} is not newer than what is in force")
+            return self._reject(
+                stored, f"plan of term {plan.term} is not newer than the plan in force"
+            )
         self.plan_version = stored.version
         logs.event("plan-in-force", version=stored.version, term=plan.term, holder=plan.holder)
-        self._follow_plan()
+        self._apply_plan()
         return True
 
-    def _follow_plan(self) -> None:
+    def _apply_plan(self) -> None:
         if self.core is not None and self._plans.in_force is not None:
             self.core.plan_accepted(self._plans.in_force.as_splits())
 
@@ -142,7 +144,7 @@
         logs.event(event, logging.ERROR, version=stored.version, error=reason)
         return False
 
-    def _put_in_force(self, policy: Policy) -> None:
+    def _apply_policy(self, policy: Policy) -> None:
         now = self._clock.monotonic()
         self.policy = policy
         self._blocks = BlockTable.from_prefixes(policy.default_home, policy.homes_by_prefix)
@@ -152,19 +154,20 @@
         }
         self._levels.set_objectives(latency_by_service)
         is_first = self.core is None
-        core = self.core or self._make_core(now)
+        core = self.core or self._create_core(now)
         actions = core.policy_accepted(policy, self.home_of, now)
         if is_first:
-            self.on_core(core)
-            self._follow_plan()
-        self._renew_lookups(core)
+            self.on_core_created(core)
+            self._apply_plan()
+        self._rebuild_lookups(core)
         self._metrics.gauge("policy_version", policy.version)
         logs.event("policy-in-force", version=policy.version, entry=self.settings.entry_id)
         self.on_actions(actions)
 
-    def _make_core(self, now: float) -> Core:
+    def _create_core(self, now: float) -> Core:
         seed = self.settings.seed
-        # Request order and keys must not be guessed by callers, so the seed is the system's.
+        # Callers must not be able to predict request order and keys, so the seed comes from the
+        # system's random source.
         rng = random.Random(seed if seed is not None else random.SystemRandom().getrandbits(64))
         core_settings = CoreSettings(
             queue_limit=self.settings.limits.queued,
@@ -177,19 +180,19 @@
         return self.core
 
     def view_changed(self, view: MemberView) -> None:
-        """Take a new view of the live entries."""
+        """Apply a new view of the live entries."""
         self.view = view
         if self.core is None:
             return
         self.on_actions(self.core.view_changed(view, self._clock.monotonic()))
-        self._renew_lookups(self.core)
+        self._rebuild_lookups(self.core)
 
-    def _renew_lookups(self, core: Core) -> None:
+    def _rebuild_lookups(self, core: Core) -> None:
         if self.policy is not None:
             self._lookups = LookupTable(self.policy, self.view, core.rule)
 
-    def take_blocks(self, blocks: BlockTable) -> None:
-        """Use a table of blocks in place of the prefixes in the policy."""
+    def set_block_table(self, blocks: BlockTable) -> None:
+        """Replace the table of blocks from the prefixes in the policy."""
         self._blocks = blocks
 
     def home_of(self, block: int) -> str:
@@ -200,16 +203,16 @@
     # Look-ups
 
     def look_up(self, service: str, block: int) -> Result[bytes, Refusal]:
-        """Answer a look-up with a JSON document."""
+        """Return the response to a look-up, a JSON document."""
         if self._lookups is None or self._blocks is None:
-            return Error(Refusal(Code.NOT_READY, retry_after=NOT_READY_RETRY_AFTER))
+            return Error(Refusal(Code.NOT_READY, retry_after=NOT_READY_RETRY_AFTER_S))
         home = self._blocks.home(block)
         return self._lookups.answer(service, block, home, self._clock.wall())
 
-    # What the carrier tells
+    # Events of the carrier; see CarryObserver
 
     def arrived(self, request: Request) -> None:
-        """Count a request of a caller; what another entry sent on was counted there."""
+        """Count a caller's request; the forwarding entry has counted a forwarded one."""
         if request.forwarded_by is not None or self._meter is None or self._blocks is None:
             return
         service = self._service_of(request.path)
@@ -218,8 +221,8 @@
             self._meter.record_arrival(service, home, self._clock.monotonic())
 
     def answered(self, request: Request, region: str, code: Code, seconds: float) -> None:
-        """Count a final answer; log it if it is not the service's own."""
-        if request.forwarded_by is None and code not in WHOLE_ANSWERS:
+        """Count a final answer; log it if it is not an answer of the service."""
+        if request.forwarded_by is None and code not in SERVICE_ANSWERS:
             self._log_final(request, region, code, seconds)
         if self.policy is None or self._meter is None:
             return
@@ -234,7 +237,7 @@
             self._levels.record(service, region or self.region, int(code), seconds)
 
     def _log_final(self, request: Request, region: str, code: Code, seconds: float) -> None:
-        """Log a refusal or a failure, once, at the entry that the caller came to."""
+        """Log a refusal or a failure, only at the entry that received it from the caller."""
         logs.event(
             "refused" if CODES[code].ran is Ran.NO else "failed",
             code=int(code),
@@ -255,16 +258,19 @@
         return ""
 
     def target_leaving(self, target_id: str) -> None:
-        """Give no new work to a backend server that says so in an answer, and tell the others."""
+        """Record that a backend server reported in an answer that it is leaving.
+
+        It is assigned no new work, here and, through the exchange of news, at the other entries.
+        """
         now = self._clock.monotonic()
-        self._leaving_seen_by_target.setdefault(target_id, now)
+        self._leaving_since_by_target.setdefault(target_id, now)
         if self.core is not None:
             self.core.exchange.record_leaving(target_id, now, now)
 
-    # What the entry says of itself
+    # Status and load
 
     def is_ready(self) -> bool:
-        """Return whether callers may come."""
+        """Return whether the entry accepts callers."""
         if self.leaving or self.core is None or not self.is_current():
             return False
         return self.core.ready()
@@ -302,7 +308,7 @@
         return self._levels.snapshot(self._clock.monotonic())
 
     def load_report(self) -> bytes:
-        """Return this entry's load, for the planner."""
+        """Return this entry's load report, for the planner; empty if there is no core yet."""
         if self.core is None or self._meter is None:
             return b""
         now = self._clock.monotonic()
@@ -319,25 +325,25 @@
         for targets in self.core.placement.targets_by_service.values():
             for target_id, own in targets.by_id.items():
                 if own.is_leaving(now):
-                    since = self._leaving_seen_by_target.setdefault(target_id, now)
+                    since = self._leaving_since_by_target.setdefault(target_id, now)
                     drains.append(
                         DrainStatus(
                             target_id=target_id, in_flight=own.in_flight, seconds=now - since
                         )
                     )
                 else:
-                    self._leaving_seen_by_target.pop(target_id, None)
+                    self._leaving_since_by_target.pop(target_id, None)
         return drains
 
     def _budgets(self, now: float) -> list[BudgetStatus]:
         if self.core is None or self.policy is None:
             return []
         account = self.core.account
-        left, held = account.free(now, now), account.held(now)
-        return [BudgetStatus(name=account.resource, left=left, limit=held)]
+        free, held = account.free(now, now), account.held(now)
+        return [BudgetStatus(name=account.resource, left=free, limit=held)]
 
 
 def _slot_count(targets: OwnTargets, queued: int, now: float) -> SlotCount:
-    taking = [own for own in targets.by_id.values() if not own.is_leaving(now)]
-    warm = sum(min(own.slots, own.ramp.limit(now)) for own in taking)
-    return SlotCount(sum(own.slots for own in taking), warm, queued)
+    accepting = [own for own in targets.by_id.values() if not own.is_leaving(now)]
+    warm = sum(min(own.slots, own.ramp.limit(now)) for own in accepting)
+    return SlotCount(sum(own.slots for own in accepting), warm, queued)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry takes in force."""
+"""Tests of the state of an entry around its core."""
 
 import json
 import unittest
@@ -29,9 +29,9 @@
 
 
 class LogTest(unittest.TestCase):
-    """A final answer that is not the service's own leaves one line."""
+    """A final answer that is not an answer of the service is logged in one line."""
 
-    def test_a_refusal_names_code_request_entry_and_policy(self) -> None:
+    def test_a_refusal_is_logged_with_code_request_entry_and_policy(self) -> None:
         settings = parse(EntrySettings, json.dumps(SETTINGS), "settings")
         node = EntryNode(settings, "0" * 16, NullMetrics(), NodeClock(lambda: 0.0))
         request = Request("r1", "GET", "/times/", None, b"", 1, 1.0)
@@ -40,33 +40,33 @@
             node.answered(request, "north", Code.CONNECTION_LOST, 0.25)
         refused, failed = logged.records
         self.assertEqual((refused.getMessage(), failed.getMessage()), ("refused", "failed"))
-        named = {name: getattr(refused, name) for name in ("code", "request_id", "entry")}
-        self.assertEqual(named, {"code": 2100, "request_id": "r1", "entry": "entry-1"})
+        fields = {name: getattr(refused, name) for name in ("code", "request_id", "entry")}
+        self.assertEqual(fields, {"code": 2100, "request_id": "r1", "entry": "entry-1"})
         self.assertEqual(vars(refused)["policy_version"], 0)
         with self.assertNoLogs("briarspur"):
             node.answered(request, "north", Code.ANSWERED, 0.25)
 
 
 class PlanTest(unittest.TestCase):
-    """Plans come into force in the order of term and number, whatever the object's version."""
+    """Plans come into force in order of term and number, not of the object's version."""
 
     def setUp(self) -> None:
         settings = parse(EntrySettings, json.dumps(SETTINGS), "settings")
         self.node = EntryNode(settings, "0" * 16, NullMetrics(), NodeClock(lambda: 0.0))
 
-    def take(self, version: int, term: int, body: str) -> bool:
+    def load_plan(self, version: int, term: int, body: str) -> bool:
         value = Envelope(f"t{version}", term, body).encode()
-        return self.node.plan_stored(StoredObject(PLAN_NAME, version, value))
+        return self.node.load_plan(StoredObject(PLAN_NAME, version, value))
 
-    def test_older_term_is_refused(self) -> None:
-        self.assertTrue(self.take(1, 2, plan(2, 1)))
-        self.assertFalse(self.take(2, 2, plan(1, 9)))
+    def test_plan_of_an_older_term_is_rejected(self) -> None:
+        self.assertTrue(self.load_plan(1, 2, plan(2, 1)))
+        self.assertFalse(self.load_plan(2, 2, plan(1, 9)))
         self.assertEqual(self.node.plan_version, 1)
 
-    def test_fence_of_a_new_holder_changes_nothing(self) -> None:
-        """Every change of the lease's holder would log an error on each entry."""
-        self.assertFalse(self.take(1, 1, ""))
-        self.assertTrue(self.take(2, 1, plan(1, 1)))
+    def test_rewrite_by_a_new_lease_holder_is_not_an_error(self) -> None:
+        """Guards against an error in the log of each entry at every change of the lease holder."""
+        self.assertFalse(self.load_plan(1, 1, ""))
+        self.assertTrue(self.load_plan(2, 1, plan(1, 1)))
         with self.assertNoLogs("briarspur"):
-            self.assertTrue(self.take(3, 2, plan(1, 1)))
+            self.assertTrue(self.load_plan(3, 2, plan(1, 1)))
         self.assertEqual(self.node.plan_version, 3)
--- a/tools/benchparts.py
+++ b/tools/benchparts.py
@@ -120,7 +120,7 @@
         while not self.is_ready():
             await asyncio.sleep(0.05)
         step = 2**32 // BLOCKS
-        self.node.take_blocks(BlockTable.from_runs((n * step, "north") for n in range(BLOCKS)))
+        self.node.set_block_table(BlockTable.from_runs((n * step, "north") for n in range(BLOCKS)))
         print("ready", flush=True)
 
 
