--- a/briarspur/entry.py
+++ b/briarspur/entry.py
@@ -1,4 +1,4 @@
-"""``briarspur-entry``: answers look-ups and carries requests; here its parts are put together."""
+"""The ``briarspur-entry`` daemon, which answers look-ups and dispatches requests to targets."""
 
 import asyncio
 import contextlib
@@ -44,18 +44,18 @@
 __all__ = ["EntryDaemon", "main"]
 
 ANY_HOST = ("0.0.0.0", "::")
-DEFAULT_CONNECTIONS = 350
-"""Bound on open connections to a target the policy no longer names."""
-LEAVE_SPREAD_PROBES = 5
-"""Probe intervals after which every other entry knows that this one is leaving."""
-OUTCOME_TRIES = 20
-OUTCOME_PAUSE = 0.5
-"""Tries to write a page of outcomes, and the seconds between two of them."""
-
-BOOTSTRAP_PAUSE = 1.0
+DEFAULT_MAX_CONNECTIONS = 350
+"""Maximum number of open connections to a target that the policy no longer lists."""
+LEAVE_PROPAGATION_PROBES = 5
+"""Number of probe intervals after which every other entry knows that this one is leaving."""
+MAX_OUTCOME_ATTEMPTS = 20
+OUTCOME_RETRY_DELAY_S = 0.5
+"""Maximum attempts to write a page of outcomes, and the delay between two attempts."""
+
+BOOTSTRAP_INTERVAL_S = 1.0
 BOOTSTRAP_PEERS = 3
-"""Mean seconds between two rounds of asking other entries, and how many must answer, when the store
-is out and this process has no policy yet."""
+"""Mean interval between fetches of the policy from other entries while the store is unavailable and
+this process has no policy, and the number of entries that must reply."""
 
 
 class EntryDaemon:
@@ -72,13 +72,13 @@
         self._clock = NodeClock(monotonic=self._reactor.seconds)
         self.store = open_store(settings.platform)
         self._vms = VmList(self.store)
-        # Backend servers then see each entry at the address that the VM list gives for it.
+        # Backend servers then see connections from the address that the VM list has for this entry.
         source = None if settings.host in ANY_HOST else settings.host
         self._client = BackendClient(self._reactor, source=source)
         self._peers = PeerClient()
         self._peering: Peering | None = None
         self._peer_server: PeerServer | None = None
-        # Probe order and pauses must differ between entries, or they would all act at once.
+        # Probe order and delays must differ between entries, or all entries would act at once.
         self._rng = random.Random(
             settings.seed if settings.seed is not None else secrets.randbits(64)
         )
@@ -86,7 +86,7 @@
         if settings.statsd is not None:
             self._metrics = StatsdMetrics(settings.statsd)
         self.node = self.node_type(settings, self._incarnation, self._metrics, self._clock)
-        self.node.on_core_created = self._core_made
+        self.node.on_core_created = self._on_core_created
         self._follow = self._make_follow()
         self.node.is_current = lambda: self._follow.is_ready(POLICY_NAME)
         self._carrier: Carrier | None = None
@@ -102,16 +102,16 @@
         self._left_at = -float("inf")
 
     async def start(self) -> None:
-        """Listen, and begin to follow the policy."""
+        """Listen for callers and start to follow the policy."""
         settings = self.settings
         ports = self._server.listen(settings.host, settings.caller_port, settings.forward_port)
         self._caller_port, self._forward_port = ports
         await self._follow.__aenter__()
-        self._start(self._ask_peers())
+        self._start(self._bootstrap_policy())
 
     @property
     def caller_port(self) -> int:
-        """The port callers come to."""
+        """The port on which callers connect."""
         return self._caller_port
 
     @property
@@ -120,23 +120,23 @@
         return self._incarnation
 
     def is_ready(self) -> bool:
-        """Return whether callers may come."""
+        """Return whether the entry accepts callers."""
         return self.node.is_ready()
 
-    def members(self) -> int:
-        """Return how many live entries this one sees, itself included."""
+    def count_members(self) -> int:
+        """Return the number of live entries in this entry's view, including itself."""
         return len(self.node.view.by_id)
 
-    def watches_policy(self) -> bool:
-        """Return whether this entry watches the policy in the store for its zone."""
+    def is_watching_policy(self) -> bool:
+        """Return whether this entry is one of its zone's watchers of the policy in the store."""
         return self._follow.watches(POLICY_NAME)
 
     def policy_version(self) -> int:
-        """Return the version in force, 0 if there is none."""
+        """Return the version of the policy in force, or 0 if there is none."""
         return self.node.policy.version if self.node.policy is not None else 0
 
     async def stop(self) -> None:
-        """End in order; see :class:`GracefulStop`."""
+        """Stop gracefully; see :class:`GracefulStop`."""
         await GracefulStop(self, self._clock.monotonic, self.settings.drain_grace_s).run()
         for task in self._tasks:
             task.cancel()
@@ -149,31 +149,31 @@
         await self.store.close()
         self._client.close()
 
-    # Steps of the graceful stop
+    # Steps of the graceful stop; see StoppingEntry
 
     def leave(self) -> None:
-        """Leave look-ups and hand the targets over."""
+        """Announce that this entry is leaving, so that it gives up its targets and look-ups."""
         self._left_at = self._clock.monotonic()
         self.node.leaving = True
         if self._peering is not None:
             self._peering.leave()
 
     def lookups_expire_at(self) -> float:
-        """Return when the last look-up that may name this entry has lapsed."""
-        spread = LEAVE_SPREAD_PROBES * self.settings.probe_interval_s
+        """Return the time, in seconds, when the last look-up that may list this entry expires."""
+        propagation = LEAVE_PROPAGATION_PROBES * self.settings.probe_interval_s
         policy = self.node.policy
-        return self._left_at + spread + policy.lookup_lifetime if policy else self._left_at
+        return self._left_at + propagation + policy.lookup_lifetime if policy else self._left_at
 
     def open_requests(self) -> int:
-        """Return how many requests have not ended."""
+        """Return the number of requests that have not ended."""
         return self._carrier.open_requests if self._carrier is not None else 0
 
     async def close_server(self) -> None:
-        """Take no new connections."""
+        """Accept no new connections."""
         await self._server.close()
 
     async def write_outcomes(self) -> None:
-        """Leave what became of this entry's keys in the store."""
+        """Write the outcomes of this entry's keys to the store."""
         core = self.node.core
         if core is None:
             return
@@ -185,26 +185,26 @@
         logs.event("outcomes-written", pages=len(pages), keys=len(core.keys))
 
     async def _write_page(self, page: OutcomePage) -> bool:
-        for _ in range(OUTCOME_TRIES):
+        for _ in range(MAX_OUTCOME_ATTEMPTS):
             try:
                 await self.store.put(page.name, page.value, ABSENT)
                 return True
             except StoreConflictError:
-                # Nobody else writes pages of this incarnation: an earlier try took effect.
+                # Only this process writes pages of its incarnation: an earlier attempt took effect.
                 return True
             except StoreError:
-                await asyncio.sleep(OUTCOME_PAUSE)
+                await asyncio.sleep(OUTCOME_RETRY_DELAY_S)
         return False
 
-    # Wiring
+    # Assembly
 
-    def _core_made(self, core: Core) -> None:
-        """Carry requests from now on."""
+    def _on_core_created(self, core: Core) -> None:
+        """Start to serve requests and to exchange messages with other entries."""
         claims = Claims(self.store, self._incarnation, secrets.token_urlsafe)
         settings = CarrySettings(
             self.settings.entry_id,
             self.settings.limits.remembered_answer_bytes,
-            self._connections_of,
+            self._max_connections_of,
             self._clock.wall,
         )
         self._carrier = Carrier(
@@ -217,9 +217,9 @@
             self.node.pacing,
         )
         self.node.on_actions = self._carrier.carry_out
-        # A full collection walks every object, those of the imported modules above all, and all
-        # callers wait meanwhile. What is alive by now lives as long as the process, so it is left
-        # out from here on.
+        # A full garbage collection traverses every object, most of them of imported modules, and
+        # blocks all callers meanwhile. The objects that exist now live as long as the process, so
+        # they are excluded from later collections.
         gc.collect()
         gc.freeze()
         self._server.arrivals = self._carrier
@@ -232,7 +232,7 @@
 
     def _make_peering(self, core: Core) -> Peering:
         settings = self.settings
-        me = Member(
+        own_member = Member(
             member_id=settings.entry_id,
             incarnation=self._incarnation,
             region=self.node.region,
@@ -244,7 +244,7 @@
         )
         number, now = int(self._clock.wall()), self._clock.monotonic()
         return Peering(
-            membership=Membership(me, self._rng, incarnation_number=number, now=now),
+            membership=Membership(own_member, self._rng, incarnation_number=number, now=now),
             core=core,
             follow=self._follow,
             client=self._peers,
@@ -257,11 +257,11 @@
         )
 
     def _make_follow(self) -> Follow:
-        takers_by_name = {
+        loaders_by_name = {
             POLICY_NAME: self.node.load_policy,
             PLAN_NAME: self.node.load_plan,
         }
-        followers = [Follower(name, _reader(take)) for name, take in takers_by_name.items()]
+        followers = [Follower(name, _reader(load)) for name, load in loaders_by_name.items()]
         peers = MemberPeers(self._peers, self._address_of)
         settings = self.settings
         return Follow(
@@ -283,41 +283,41 @@
             {i: member.zone for i, member in view.by_id.items() if not member.leaving}
         )
 
-    async def _ask_peers(self) -> None:
-        """Take the policy from other entries if the store is out when this process begins."""
-        me = Address(self.settings.host, self.settings.peer_port)
+    async def _bootstrap_policy(self) -> None:
+        """Fetch the policy from other entries if the store is unavailable at the start."""
+        own_address = Address(self.settings.host, self.settings.peer_port)
         while self.node.policy is None:
-            await asyncio.sleep(BOOTSTRAP_PAUSE * (0.5 + self._rng.random()))
+            await asyncio.sleep(BOOTSTRAP_INTERVAL_S * (0.5 + self._rng.random()))
             if not self._follow.store_fails(POLICY_NAME):
                 continue
             copy = await newest_copy(
-                self._peers, self._vms, me, POLICY_NAME, BOOTSTRAP_PEERS, self._rng
+                self._peers, self._vms, own_address, POLICY_NAME, BOOTSTRAP_PEERS, self._rng
             )
             if copy is not None:
                 self._follow.offered(copy)
 
-    def _connections_of(self, target_id: str) -> int:
+    def _max_connections_of(self, target_id: str) -> int:
         policy = self.node.policy
         target = policy.targets_by_id.get(target_id) if policy is not None else None
-        return target.connections if target is not None else DEFAULT_CONNECTIONS
+        return target.connections if target is not None else DEFAULT_MAX_CONNECTIONS
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._log_task_error)
         self._tasks.append(task)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _log_task_error(self, task: asyncio.Task[None]) -> None:
         with contextlib.suppress(asyncio.CancelledError):
             error = task.exception()
             if error is not None:
                 logs.event("internal-error", logging.ERROR, error=repr(error))
 
 
-def _reader(take: Callable[[StoredObject], bool]) -> Callable[[StoredObject], Result[None, str]]:
-    """Return a follower's reader that puts a valid version in force by ``take``."""
+def _reader(load: Callable[[StoredObject], bool]) -> Callable[[StoredObject], Result[None, str]]:
+    """Return a reader for a follower; ``load`` puts a version in force if it is valid."""
 
     def read(stored: StoredObject) -> Result[None, str]:
-        return Ok(None) if take(stored) else Error("not valid here; see the log")
+        return Ok(None) if load(stored) else Error("not valid at this entry; see the log")
 
     return read
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Tests of a whole entry in this process, with the stand-in platform and raw backend servers."""
+"""Tests of complete entries in this process, with a stand-in platform and raw backend server."""
 
 import asyncio
 import json
@@ -23,8 +23,8 @@
     connection.send_answer(b"whole")
 
 
-async def accepts(port: int) -> bool:
-    """Return whether a port takes connections."""
+async def accepts_connections(port: int) -> bool:
+    """Return whether a port accepts connections."""
     try:
         _, writer = await asyncio.open_connection(HOST, port)
     except ConnectionError:
@@ -33,15 +33,18 @@
     return True
 
 
-class Whole:
-    """A platform, a backend server for all targets, and entries of one region; a context."""
+class Deployment:
+    """A platform, a backend server for all targets, and entries of one region.
+
+    An asynchronous context manager that starts them.
+    """
 
     def __init__(self, script: Any = answer_ok, entries: int = 1) -> None:
         self.backend = RawBackend(script)
         self.entries = entries
         self.daemons: list[EntryDaemon] = []
 
-    async def __aenter__(self) -> "Whole":
+    async def __aenter__(self) -> "Deployment":
         from standins.objectapi import ObjectApi
         from standins.serving import listen
 
@@ -100,116 +103,116 @@
         version: int = await self.daemon.store.put("policy", value, expected)
         return version
 
-    async def ask(self, request: bytes, number: int = 1) -> Read:
+    async def send(self, request: bytes, number: int = 1) -> Read:
         async with RawCaller(self.daemons[number - 1].caller_port) as caller:
             return await caller.ask(request)
 
     async def get(self, path: bytes, number: int = 1) -> Read:
-        return await self.ask(b"GET " + path + b" HTTP/1.1\r\nHost: x\r\n\r\n", number)
+        return await self.send(b"GET " + path + b" HTTP/1.1\r\nHost: x\r\n\r\n", number)
 
-    async def all_ready(self) -> None:
-        """Wait until every entry sees every other."""
+    async def wait_until_all_ready(self) -> None:
+        """Wait until every entry is ready and its view includes all entries."""
         await eventually(lambda: all(daemon.is_ready() for daemon in self.daemons))
-        await eventually(lambda: all(d.members() == len(self.daemons) for d in self.daemons))
+        await eventually(lambda: all(d.count_members() == len(self.daemons) for d in self.daemons))
 
-    async def booking(self, number: int, suffix: bytes) -> bytes:
-        """Return a booking whose key has this entry as its home."""
+    async def booking_request(self, number: int, suffix: bytes) -> bytes:
+        """Return a booking request with a key whose home is the entry ``number``."""
         prefix = make_prefix(self.daemons[number - 1].incarnation, int(time.time()) + 60)
         head = b"POST /booking/ HTTP/1.1\r\nIdempotency-Key: %b.%b" % (prefix.encode(), suffix)
         return head + b"\r\nContent-Length: 4\r\n\r\nboat"
 
 
 class EntryTest(LoopTestCase):
-    """Look-up, request, booking and stop, through every part but other entries."""
+    """Look-up, request, booking and stop at a single entry."""
 
-    def test_from_look_up_to_answer(self) -> None:
+    def test_look_up_and_request_are_answered_once_a_policy_is_in_force(self) -> None:
         async def work() -> None:
-            async with Whole() as whole:
-                self.assertEqual((await whole.get(b"/readyz")).status, 503)
-                self.assertEqual((await whole.get(b"/times/")).status, 503)
-                version = await whole.apply(whole.policy())
-                await eventually(whole.daemon.is_ready)
-                found = json.loads((await whole.get(b"/v1/lookup?service=booking")).body)
-                self.assertEqual(found["entries"][0]["port"], whole.caller_port)
-                self.assertEqual((await whole.get(b"/times/today")).body, b"whole")
-                status = json.loads((await whole.get(b"/status")).body)
+            async with Deployment() as deployment:
+                self.assertEqual((await deployment.get(b"/readyz")).status, 503)
+                self.assertEqual((await deployment.get(b"/times/")).status, 503)
+                version = await deployment.apply(deployment.policy())
+                await eventually(deployment.daemon.is_ready)
+                found = json.loads((await deployment.get(b"/v1/lookup?service=booking")).body)
+                self.assertEqual(found["entries"][0]["port"], deployment.caller_port)
+                self.assertEqual((await deployment.get(b"/times/today")).body, b"whole")
+                status = json.loads((await deployment.get(b"/status")).body)
                 self.assertEqual(status["policy_version"], version)
-                levels = json.loads((await whole.get(b"/status/service-level")).body)
+                levels = json.loads((await deployment.get(b"/status/service-level")).body)
                 self.assertEqual(levels["services"]["times"]["counts"]["north"]["1000"], [1, 0])
-                await whole.daemon.stop()
+                await deployment.daemon.stop()
 
         self.run_on_loop(work())
 
-    def test_booking_is_run_once_and_answered_twice(self) -> None:
+    def test_repeated_booking_runs_once_and_its_answer_is_replayed(self) -> None:
         async def work() -> None:
-            async with Whole() as whole:
-                await whole.apply(whole.policy())
-                await eventually(whole.daemon.is_ready)
-                found = json.loads((await whole.get(b"/v1/lookup?service=booking")).body)
+            async with Deployment() as deployment:
+                await deployment.apply(deployment.policy())
+                await eventually(deployment.daemon.is_ready)
+                found = json.loads((await deployment.get(b"/v1/lookup?service=booking")).body)
                 key = found["key_prefix"].encode() + b".abcdefgh"
                 head = b"POST /booking/ HTTP/1.1\r\nIdempotency-Key: " + key
                 request = head + b"\r\nContent-Length: 4\r\n\r\nboat"
-                first, second = await whole.ask(request), await whole.ask(request)
+                first, second = await deployment.send(request), await deployment.send(request)
                 self.assertEqual((first.status, first.body), (200, b"whole"))
                 self.assertEqual((second.status, second.body), (200, b"whole"))
                 self.assertEqual(second.headers[b"briarspur-code"], b"1001")
-                self.assertEqual(len(whole.backend.heads), 1)
-                foreign = request.replace(key, b"my-own-key-1")
-                self.assertEqual((await whole.ask(foreign)).status, 200)
-                self.assertEqual(len(whole.backend.heads), 2)
-                await whole.daemon.stop()
-                left = whole.platform.objects.history(
-                    *kind_and_name(f"outcomes/{whole.daemon.incarnation}")
+                self.assertEqual(len(deployment.backend.heads), 1)
+                foreign_request = request.replace(key, b"my-own-key-1")
+                self.assertEqual((await deployment.send(foreign_request)).status, 200)
+                self.assertEqual(len(deployment.backend.heads), 2)
+                await deployment.daemon.stop()
+                pages = deployment.platform.objects.history(
+                    *kind_and_name(f"outcomes/{deployment.daemon.incarnation}")
                 )
-                self.assertEqual(1, len(left))
+                self.assertEqual(1, len(pages))
 
         self.run_on_loop(work())
 
-    def test_policy_changes_without_a_restart(self) -> None:
+    def test_new_policy_is_applied_without_a_restart(self) -> None:
         async def work() -> None:
-            async with Whole() as whole:
-                document = whole.policy()
-                version = await whole.apply(document)
-                await eventually(whole.daemon.is_ready)
-                self.assertEqual((await whole.get(b"/tides/")).status, 404)
+            async with Deployment() as deployment:
+                document = deployment.policy()
+                version = await deployment.apply(document)
+                await eventually(deployment.daemon.is_ready)
+                self.assertEqual((await deployment.get(b"/tides/")).status, 404)
                 document["services"]["times"]["path"] = "/tides"
-                newer = await whole.apply(document, version)
-                await eventually(lambda: whole.daemon.policy_version() == newer)
-                self.assertEqual((await whole.get(b"/tides/")).status, 200)
-                await whole.daemon.stop()
+                newer = await deployment.apply(document, version)
+                await eventually(lambda: deployment.daemon.policy_version() == newer)
+                self.assertEqual((await deployment.get(b"/tides/")).status, 200)
+                await deployment.daemon.stop()
 
         self.run_on_loop(work())
 
-    def test_stop_cuts_nothing(self) -> None:
-        """An entry is stopped for maintenance while callers use it.
+    def test_stop_waits_for_open_responses(self) -> None:
+        """Guards against responses that are cut when an entry is stopped.
 
-        A chart pack is on its way, and goes on after the port was closed. The process may end only
-        when the caller has every byte.
+        A download continues after the port was closed. The process may end only when the caller has
+        received every byte.
         """
 
         async def work() -> None:
-            go_on = asyncio.Event()
+            resume = asyncio.Event()
 
             async def slow(connection: Connection, head: bytes) -> None:
                 if b"/times/pack" not in head:
                     connection.send_answer(b"whole")
                     return
                 connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf")
-                await go_on.wait()
+                await resume.wait()
                 connection.send(b"half")
 
-            async with Whole(slow) as whole:
-                await whole.apply(whole.policy())
-                await eventually(whole.daemon.is_ready)
-                pack = asyncio.ensure_future(whole.get(b"/times/pack"))
-                await eventually(lambda: bool(whole.backend.heads))
-                stop = asyncio.ensure_future(whole.daemon.stop())
-                while await accepts(whole.caller_port):
+            async with Deployment(slow) as deployment:
+                await deployment.apply(deployment.policy())
+                await eventually(deployment.daemon.is_ready)
+                download = asyncio.ensure_future(deployment.get(b"/times/pack"))
+                await eventually(lambda: bool(deployment.backend.heads))
+                stop = asyncio.ensure_future(deployment.daemon.stop())
+                while await accepts_connections(deployment.caller_port):
                     await asyncio.sleep(0.01)
                 await asyncio.sleep(0.2)
                 self.assertFalse(stop.done())
-                go_on.set()
-                read = await pack
+                resume.set()
+                read = await download
                 self.assertEqual((read.body, read.cut), (b"halfhalf", False))
                 await stop
 
@@ -219,111 +222,113 @@
 class TwoEntriesTest(LoopTestCase):
     """Two entries of one region, with probes and forwards between them."""
 
-    def test_key_is_run_once_whichever_entry_it_comes_to(self) -> None:
-        """A skipper's booking is repeated through another entry.
+    def test_key_runs_once_at_whichever_entry_it_arrives(self) -> None:
+        """Guards against a booking that runs twice because it is repeated through another entry.
 
-        The first copy was run by the key's home. The other entry must get the answer from there;
-        if it ran the copy itself, two boats would come.
+        The key's home ran the first request. The other entry must fetch the answer from the home.
         """
 
         async def work() -> None:
-            async with Whole(entries=2) as whole:
-                await whole.apply(whole.policy())
-                await whole.all_ready()
+            async with Deployment(entries=2) as deployment:
+                await deployment.apply(deployment.policy())
+                await deployment.wait_until_all_ready()
                 for number in (1, 2):
-                    request = await whole.booking(number, b"abcdefgh")
-                    answers = [await whole.ask(request, n) for n in (1, 2, 1)]
+                    request = await deployment.booking_request(number, b"abcdefgh")
+                    answers = [await deployment.send(request, n) for n in (1, 2, 1)]
                     self.assertEqual([a.body for a in answers], [b"whole"] * 3)
                     codes = [a.headers[b"briarspur-code"] for a in answers]
                     self.assertEqual(codes.count(b"1000"), 1)
-                self.assertEqual(len(whole.backend.heads), 2)
-                await asyncio.gather(*(daemon.stop() for daemon in whole.daemons))
+                self.assertEqual(len(deployment.backend.heads), 2)
+                await asyncio.gather(*(daemon.stop() for daemon in deployment.daemons))
 
         self.run_on_loop(work())
 
-    def test_callers_own_key_is_run_once_at_any_entry(self) -> None:
-        """A builder's order gets no answer at one entry and its answer is lost at the next.
+    def test_key_chosen_by_the_caller_runs_once_at_any_entry(self) -> None:
+        """Guards against a second run, or an unknown outcome, of a key without a home entry.
 
-        The key is of the builder's own making. The first entry claimed and ran it; the repeat
-        comes to the other one, which must neither run it nor say that nobody knows.
+        The caller chose the key itself. The first entry claimed and ran it; the repeat arrives at
+        the other entry, which must return the same answer.
         """
 
         async def work() -> None:
-            async with Whole(entries=2) as whole:
-                await whole.apply(whole.policy())
-                await whole.all_ready()
+            async with Deployment(entries=2) as deployment:
+                await deployment.apply(deployment.policy())
+                await deployment.wait_until_all_ready()
                 request = b"POST /booking/ HTTP/1.1\r\nIdempotency-Key: builders-key"
                 request += b"\r\nContent-Length: 4\r\n\r\nboat"
-                answers = [await whole.ask(request, number) for number in (1, 2, 1)]
+                answers = [await deployment.send(request, number) for number in (1, 2, 1)]
                 self.assertEqual([answer.body for answer in answers], [b"whole"] * 3)
-                self.assertEqual(len(whole.backend.heads), 1)
-                await asyncio.gather(*(daemon.stop() for daemon in whole.daemons))
+                self.assertEqual(len(deployment.backend.heads), 1)
+                await asyncio.gather(*(daemon.stop() for daemon in deployment.daemons))
 
         self.run_on_loop(work())
 
-    def test_fresh_entry_begins_while_the_store_is_out(self) -> None:
-        """A VM is replaced in an outage of the store, and its callers wait for minutes.
+    def test_new_entry_starts_while_the_store_is_unavailable(self) -> None:
+        """Guards against a replaced VM that stays unready until an outage of the store ends.
 
-        The VM list still answers; the other entry has the policy.
+        The VM list is still available, and the other entry has the policy.
         """
 
         async def work() -> None:
-            async with Whole(entries=2) as whole:
-                await whole.apply(whole.policy())
-                await whole.all_ready()
-                await whole.daemons[1].stop()
-                fresh = EntryDaemon(whole.daemons[1].settings)
-                out = MemoryStore()
-                out.stop()
-                fresh._follow._store = out
-                await fresh.start()
-                await eventually(fresh.is_ready)
-                self.assertEqual(fresh.policy_version(), whole.daemon.policy_version())
-                await asyncio.gather(fresh.stop(), whole.daemon.stop())
+            async with Deployment(entries=2) as deployment:
+                await deployment.apply(deployment.policy())
+                await deployment.wait_until_all_ready()
+                await deployment.daemons[1].stop()
+                new_daemon = EntryDaemon(deployment.daemons[1].settings)
+                unavailable_store = MemoryStore()
+                unavailable_store.stop()
+                new_daemon._follow._store = unavailable_store
+                await new_daemon.start()
+                await eventually(new_daemon.is_ready)
+                self.assertEqual(new_daemon.policy_version(), deployment.daemon.policy_version())
+                await asyncio.gather(new_daemon.stop(), deployment.daemon.stop())
 
         self.run_on_loop(work())
 
     def test_only_two_entries_of_a_zone_watch_the_store(self) -> None:
-        """After an outage every entry comes back to the store at once, and it stays overloaded.
+        """Guards against a store that stays overloaded when all entries return after an outage.
 
-        Each entry knew itself alone, because nobody told the follower of the members, and so held
-        the watch of its zone: 3,400 watches at 1,700 entries in place of 116.
+        If the follower isn't notified of the members, each entry knows only itself and watches the
+        store for its zone: 3,400 watches at 1,700 entries in place of 116.
         """
 
         async def work() -> None:
-            async with Whole(entries=3) as whole:
-                await whole.apply(whole.policy())
-                await whole.all_ready()
-                await eventually(lambda: sum(d.watches_policy() for d in whole.daemons) == 2)
-                await asyncio.gather(*(daemon.stop() for daemon in whole.daemons))
+            async with Deployment(entries=3) as deployment:
+                await deployment.apply(deployment.policy())
+                await deployment.wait_until_all_ready()
+                await eventually(
+                    lambda: sum(d.is_watching_policy() for d in deployment.daemons) == 2
+                )
+                await asyncio.gather(*(daemon.stop() for daemon in deployment.daemons))
 
         self.run_on_loop(work())
 
-    def test_leaving_entry_serves_on_and_its_outcomes_are_found(self) -> None:
+    def test_leaving_entry_still_serves_and_its_outcomes_are_found(self) -> None:
         """An entry is replaced while callers still have it in their look-ups.
 
-        It gives its targets away and goes on answering through the new owners. After its exit a
-        booking it ran is repeated elsewhere, and is answered from what it left in the store.
+        It gives up its targets and still answers requests through the new owners. After its exit, a
+        booking that it ran is repeated at another entry, which answers from the outcomes that the
+        first one wrote to the store.
         """
 
         async def work() -> None:
-            async with Whole(entries=2) as whole:
-                await whole.apply(whole.policy())
-                await whole.all_ready()
-                request = await whole.booking(1, b"abcdefgh")
-                self.assertEqual((await whole.ask(request)).body, b"whole")
-                stop = asyncio.ensure_future(whole.daemon.stop())
-                await eventually(lambda: not whole.daemon.is_ready())
-                found = json.loads((await whole.get(b"/v1/lookup?service=times")).body)
+            async with Deployment(entries=2) as deployment:
+                await deployment.apply(deployment.policy())
+                await deployment.wait_until_all_ready()
+                request = await deployment.booking_request(1, b"abcdefgh")
+                self.assertEqual((await deployment.send(request)).body, b"whole")
+                stop = asyncio.ensure_future(deployment.daemon.stop())
+                await eventually(lambda: not deployment.daemon.is_ready())
+                found = json.loads((await deployment.get(b"/v1/lookup?service=times")).body)
                 self.assertEqual([e["id"] for e in found["entries"]], ["entry-2"])
                 for path in (b"/times/a", b"/times/b"):
-                    self.assertEqual((await whole.get(path)).body, b"whole")
+                    self.assertEqual((await deployment.get(path)).body, b"whole")
                 await stop
-                ran = len(whole.backend.heads)
-                await eventually(lambda: whole.daemons[1].members() == 1)
-                again = await whole.ask(request, 2)
-                self.assertEqual((again.status, again.body), (200, b"whole"))
-                self.assertEqual(len(whole.backend.heads), ran)
-                await whole.daemons[1].stop()
+                run_count = len(deployment.backend.heads)
+                await eventually(lambda: deployment.daemons[1].count_members() == 1)
+                repeated = await deployment.send(request, 2)
+                self.assertEqual((repeated.status, repeated.body), (200, b"whole"))
+                self.assertEqual(len(deployment.backend.heads), run_count)
+                await deployment.daemons[1].stop()
 
         self.run_on_loop(work())
