--- a/tests/reactor.py
+++ b/tests/reactor.py
@@ -1,4 +1,4 @@
-"""The one loop that tests with Twisted share."""
+"""The event loop that tests with Twisted share."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -12,8 +12,8 @@
 _loop: asyncio.AbstractEventLoop | None = None
 
 
-def run(work: Coroutine[Any, Any, T]) -> T:
-    """Run ``work`` on the loop under Twisted's reactor, which is installed at the first call."""
+def run(coroutine: Coroutine[Any, Any, T]) -> T:
+    """Run a coroutine on the shared loop; the first call installs Twisted's reactor on it."""
     global _loop
     if _loop is None:
         _loop = asyncio.new_event_loop()
@@ -23,8 +23,8 @@
         asyncioreactor.install(_loop)
         from twisted.internet import reactor
 
-        # Timers only fire in a reactor that runs; the loop itself is run by each test.
+        # Timers fire only in a running reactor; each test runs the loop itself.
         cast(Any, reactor).startRunning(installSignalHandlers=False)
-        # A reactor that never stops never ends its threads, and Python would wait for them at exit.
+        # The reactor never stops, so it never ends its threads. Python would wait for them at exit.
         cast(Any, reactor).getThreadPool().threadFactory = partial(Thread, daemon=True)
-    return _loop.run_until_complete(work)
+    return _loop.run_until_complete(coroutine)
--- a/tests/virtualtime.py
+++ b/tests/virtualtime.py
@@ -1,4 +1,4 @@
-"""An event loop whose time jumps to the next timer, so that minutes pass in milliseconds."""
+"""An event loop with virtual time: it skips to the next timer, so minutes pass in milliseconds."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -10,7 +10,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop that never waits: with nothing ready, it sets its clock to the next timer."""
+    """A loop that, when no callback is ready, sets its clock to the next timer and never waits."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
         super()._run_once()  # type: ignore[misc]
 
 
-def run_virtual(work: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end in virtual time."""
+def run_virtual(coroutine: Coroutine[Any, Any, T]) -> T:
+    """Run a coroutine until it ends, in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        return runner.run(work)
+        return runner.run(coroutine)
