--- a/briarspur/entry.py
+++ b/briarspur/entry.py
@@ -152,7 +152,7 @@
     # Steps of the graceful stop; see StoppingEntry
 
     def leave(self) -> None:
-        """Announce that this entry is leaving, so that it gives up its targets and look-ups."""
+        """Announce that this entry is leaving, which removes it from look-ups and target owners."""
         self._left_at = self._clock.monotonic()
         self.node.leaving = True
         if self._peering is not None:
