--- a/briarspur/measurements.py
+++ b/briarspur/measurements.py
@@ -1,16 +1,16 @@
-"""The planner's measurements: load reports of entries, which lag, stand still or stop."""
+"""Load reports of entries for the planner, with handling of delayed, stale and missing reports."""
 
 import math
 from dataclasses import dataclass, field
 
 from briarspur.loadreport import LoadDocument, ServiceLoad
 
-__all__ = ["Measured", "Measurements", "Picture"]
+__all__ = ["FlowLoad", "LoadSummary", "Measurements"]
 
 
 @dataclass(slots=True)
-class Measured:
-    """One service in one region, summed over the reports of its entries."""
+class FlowLoad:
+    """Load of one service in one region, summed over the reports of its entries."""
 
     served: float = 0.0
     in_flight: float = 0.0
@@ -28,37 +28,38 @@
 
 
 @dataclass(slots=True)
-class Picture:
-    """All fresh reports at one moment.
+class LoadSummary:
+    """Sum of all reports that are recent enough.
 
     Attributes
     ----------
     by_flow : dict
-        By service and region.
+        Load by service and region.
     demand : dict
         Requests per second by service and home region.
-    oldest : float
-        When the oldest of the reports was taken.
+    oldest_taken_at : float
+        Time at which the oldest of the reports was taken; infinite if there is none.
     """
 
-    by_flow: dict[tuple[str, str], Measured] = field(default_factory=dict)
+    by_flow: dict[tuple[str, str], FlowLoad] = field(default_factory=dict)
     demand: dict[tuple[str, str], float] = field(default_factory=dict)
-    oldest: float = math.inf
+    oldest_taken_at: float = math.inf
 
-    def slot_seconds(self, service: str, region: str) -> float:
-        """Return how long one request holds a slot: there, or else as a mean over regions.
+    def mean_slot_time_s(self, service: str, region: str) -> float:
+        """Return how long a request occupies a slot in a region, in seconds.
 
-        0 if nothing was served anywhere.
+        Without requests in the region, it is the mean over all regions; 0 if there were none
+        anywhere.
         """
-        here = self.by_flow[service, region]
-        if here.served > 0.0 and here.in_flight > 0:
-            return here.in_flight / here.served
-        everywhere = [m for (s, _), m in self.by_flow.items() if s == service]
-        served = sum(m.served for m in everywhere)
-        return sum(m.in_flight for m in everywhere) / served if served > 0.0 else 0.0
+        local = self.by_flow[service, region]
+        if local.served > 0.0 and local.in_flight > 0:
+            return local.in_flight / local.served
+        all_regions = [m for (s, _), m in self.by_flow.items() if s == service]
+        served = sum(m.served for m in all_regions)
+        return sum(m.in_flight for m in all_regions) / served if served > 0.0 else 0.0
 
     def in_flight_of_others(self, service: str, region: str) -> float:
-        """Return what the other services run in a region."""
+        """Return the number of requests of other services in flight in a region."""
         return sum(
             m.in_flight for (s, r), m in self.by_flow.items() if r == region and s != service
         )
@@ -71,73 +72,73 @@
 
 
 class Measurements:
-    """Reports by entry; times in seconds on the planner's clock.
+    """Latest report of each entry; times are seconds on the planner's clock.
 
     Parameters
     ----------
-    delay : float
-        How old the measurements in a report may be on arrival.
-    fresh : float
-        A report older than this is missing.
-    hold : float
-        An entry silent for longer is forgotten.
+    report_delay : float
+        Maximum age of the measurements in a report on arrival.
+    max_report_age : float
+        Age above which a report counts as missing.
+    hold_time : float
+        Time without a report after which an entry is ignored.
     """
 
-    def __init__(self, delay: float, fresh: float, hold: float) -> None:
-        self._delay = delay
-        self._fresh = fresh
-        self._hold = hold
-        self._began_at = -math.inf
+    def __init__(self, report_delay: float, max_report_age: float, hold_time: float) -> None:
+        self._report_delay = report_delay
+        self._max_report_age = max_report_age
+        self._hold_time = hold_time
+        self._cleared_at = -math.inf
         self._report_by_entry: dict[str, _Report] = {}
 
     def clear(self, now: float) -> None:
-        """Forget every report; regions count as missing from now on."""
+        """Discard every report; regions without a new report count as missing from now on."""
         self._report_by_entry.clear()
-        self._began_at = now
+        self._cleared_at = now
 
     def add(self, document: LoadDocument, now: float) -> None:
-        """Take a report; one that stands still is not a new measurement."""
-        known = self._report_by_entry.get(document.entry_id)
-        if known is not None:
-            same_process = known.document.incarnation == document.incarnation
-            if same_process and document.number <= known.document.number:
+        """Record a report; ignore one that is no newer than the last of its process."""
+        previous = self._report_by_entry.get(document.entry_id)
+        if previous is not None:
+            same_process = previous.document.incarnation == document.incarnation
+            if same_process and document.number <= previous.document.number:
                 return
-        self._report_by_entry[document.entry_id] = _Report(document, now - self._delay)
+        self._report_by_entry[document.entry_id] = _Report(document, now - self._report_delay)
 
-    def picture(self, now: float) -> Picture:
-        """Return the sum of the fresh reports."""
-        picture = Picture()
+    def summarize(self, now: float) -> LoadSummary:
+        """Return the sum of the recent reports."""
+        summary = LoadSummary()
         for report in self._report_by_entry.values():
-            if not self._is_fresh(report, now):
+            if not self._is_recent(report, now):
                 continue
             document = report.document
-            picture.oldest = min(picture.oldest, report.taken_at)
+            summary.oldest_taken_at = min(summary.oldest_taken_at, report.taken_at)
             for service, load in document.services.items():
-                picture.by_flow.setdefault((service, document.region), Measured()).add(load)
+                summary.by_flow.setdefault((service, document.region), FlowLoad()).add(load)
                 for home, rate in load.demand_by_home.items():
                     key = (service, home)
-                    picture.demand[key] = picture.demand.get(key, 0.0) + rate
-        return picture
+                    summary.demand[key] = summary.demand.get(key, 0.0) + rate
+        return summary
 
-    def is_held(self, region: str, now: float) -> bool:
-        """Return whether a report of the region is missing, but not yet for long.
+    def is_awaiting_report(self, region: str, now: float) -> bool:
+        """Return whether a report of the region has been missing for at most the hold time.
 
         One silent entry is enough: without it, the region's capacity and demand seem smaller.
         """
         reports = [r for r in self._report_by_entry.values() if r.document.region == region]
         if not reports:
-            return now - self._began_at <= self._hold
+            return now - self._cleared_at <= self._hold_time
         return any(
-            not self._is_fresh(report, now) and now - report.taken_at <= self._hold
+            not self._is_recent(report, now) and now - report.taken_at <= self._hold_time
             for report in reports
         )
 
     def is_missing(self, region: str, now: float) -> bool:
-        """Return whether no report of the region is fresh."""
+        """Return whether the region has no recent report."""
         return not any(
-            report.document.region == region and self._is_fresh(report, now)
+            report.document.region == region and self._is_recent(report, now)
             for report in self._report_by_entry.values()
         )
 
-    def _is_fresh(self, report: _Report, now: float) -> bool:
-        return now - report.taken_at <= self._fresh + self._delay
+    def _is_recent(self, report: _Report, now: float) -> bool:
+        return now - report.taken_at <= self._max_report_age + self._report_delay
--- a/briarspur/planner.py
+++ b/briarspur/planner.py
@@ -14,7 +14,7 @@
 
 from briarspur.coord.invariants import invariants
 from briarspur.loadreport import LoadDocument
-from briarspur.measurements import Measurements, Picture
+from briarspur.measurements import LoadSummary, Measurements
 from briarspur.messages import ShiftKind
 from briarspur.plan import PlanDocument, PlanSplit
 from briarspur.policy import Policy
@@ -95,7 +95,7 @@
         """Return the next plan; None if no step is due now."""
         if self._plan is None:
             return None
-        picture = self._measurements.picture(now)
+        loads = self._measurements.summarize(now)
         splits: dict[str, dict[str, PlanSplit]] = {}
         has_step = False
         # Least recently stepped service first, so that no service starves the others.
@@ -105,13 +105,13 @@
         ):
             before = self._current_splits(policy, service)
             after = before
-            if self._has_taken_effect(policy, self._stepped_at_by_service.get(service), picture):
-                after = self._next_splits(policy, service, before, picture, now)
+            if self._has_taken_effect(policy, self._stepped_at_by_service.get(service), loads):
+                after = self._next_splits(policy, service, before, loads, now)
             gaining = _gaining_regions(before, after)
             # All services share a region's limit. Capacity that one service has just planned to use
             # still looks free to the others, in this round and until its effect is measured.
             if not all(
-                self._has_taken_effect(policy, self._gained_at_by_region.get(region), picture)
+                self._has_taken_effect(policy, self._gained_at_by_region.get(region), loads)
                 for region in gaining
             ):
                 after = before
@@ -133,35 +133,35 @@
 
     def headroom(self, policy: Policy, now: float) -> dict[tuple[str, str], float]:
         """Return the spare warm capacity by service and region, in requests per second."""
-        picture = self._measurements.picture(now)
+        loads = self._measurements.summarize(now)
         return {
-            flow: self._capacity(policy, *flow, picture, warm=True) - measured.served
-            for flow, measured in picture.by_flow.items()
+            flow: self._capacity(policy, *flow, loads, warm=True) - measured.served
+            for flow, measured in loads.by_flow.items()
         }
 
-    def _has_taken_effect(self, policy: Policy, step_at: float | None, picture: Picture) -> bool:
+    def _has_taken_effect(self, policy: Policy, step_at: float | None, loads: LoadSummary) -> bool:
         """Return whether every fresh report was taken after a step took effect."""
-        if picture.oldest == math.inf:
+        if loads.oldest_taken_at == math.inf:
             return False
         began = self._term_began_at if step_at is None else step_at
         window = max(cap.window for cap in policy.caps_by_kind.values())
-        return picture.oldest >= began + max(window, self._settings.settling_time)
+        return loads.oldest_taken_at >= began + max(window, self._settings.settling_time)
 
     def _capacity(
-        self, policy: Policy, service: str, region: str, picture: Picture, warm: bool
+        self, policy: Policy, service: str, region: str, loads: LoadSummary, warm: bool
     ) -> float:
         """Return the requests per second that a region can serve; 0 if it has no measurements.
 
         With ``warm``, only its warm slots count: additional traffic may use only these, while
         existing traffic may also warm the others.
         """
-        measured = picture.by_flow.get((service, region))
+        measured = loads.by_flow.get((service, region))
         if measured is None:
             return 0.0
         slots: float = measured.warm_slots if warm else measured.slots
         limit = policy.regions_by_name[region].in_flight_limit
-        slots = min(slots, max(0.0, limit - picture.in_flight_of_others(service, region)))
-        busy = picture.slot_seconds(service, region)
+        slots = min(slots, max(0.0, limit - loads.in_flight_of_others(service, region)))
+        busy = loads.mean_slot_time_s(service, region)
         if busy == 0.0:
             return math.inf if slots else 0.0
         return self._settings.max_utilization * slots / busy
@@ -185,11 +185,11 @@
         policy: Policy,
         service: str,
         before: dict[str, Shares],
-        picture: Picture,
+        loads: LoadSummary,
         now: float,
     ) -> dict[str, Shares]:
-        desired = self._desired_splits(policy, service, before, picture, now)
-        demand = {home: picture.demand.get((service, home), 0.0) for home in before}
+        desired = self._desired_splits(policy, service, before, loads, now)
+        demand = {home: loads.demand.get((service, home), 0.0) for home in before}
         after = step_within_caps(before, desired, demand, policy.caps_by_kind)
         if all(self._is_small(before[home], after[home]) for home in before):
             return before
@@ -206,32 +206,32 @@
         policy: Policy,
         service: str,
         before: dict[str, Shares],
-        picture: Picture,
+        loads: LoadSummary,
         now: float,
     ) -> dict[str, Shares]:
         """Return the desired splits, which leave the traffic of held regions unchanged."""
         policy_splits = {home: policy_split(policy, service, home) for home in before}
         rebalancer = _Rebalancer(
-            warm_capacity={r: self._capacity(policy, service, r, picture, True) for r in before},
-            max_rate={r: self._max_rate(policy, service, r, picture, now) for r in before},
-            demand={home: picture.demand.get((service, home), 0.0) for home in before},
+            warm_capacity={r: self._capacity(policy, service, r, loads, True) for r in before},
+            max_rate={r: self._max_rate(policy, service, r, loads, now) for r in before},
+            demand={home: loads.demand.get((service, home), 0.0) for home in before},
         )
         desired = rebalancer.rebalance(
             policy_splits, {r: policy.regions_by_name[r].spill_to for r in before}
         )
-        held = [r for r in before if self._measurements.is_held(r, now)]
+        held = [r for r in before if self._measurements.is_awaiting_report(r, now)]
         for home in desired:
             if any(desired[home].get(r, 0.0) != before[home].get(r, 0.0) for r in held):
                 desired[home] = before[home]
         return desired
 
     def _max_rate(
-        self, policy: Policy, service: str, region: str, picture: Picture, now: float
+        self, policy: Policy, service: str, region: str, loads: LoadSummary, now: float
     ) -> float:
         """Return the maximum rate for existing traffic of a region; infinite without reports."""
         if self._measurements.is_missing(region, now):
             return math.inf
-        return self._capacity(policy, service, region, picture, warm=False)
+        return self._capacity(policy, service, region, loads, warm=False)
 
     def _plan_splits(
         self, policy: Policy, service: str, before: dict[str, Shares], after: dict[str, Shares]
--- a/briarspur/steer.py
+++ b/briarspur/steer.py
@@ -1,7 +1,7 @@
 """The program ``briarspur-steer``: plans shifts of traffic while it holds the lease.
 
-Every entry VM runs one; whoever holds the lease acts, the others stand by. Entries follow the last
-plan, so they go on when no process holds the lease, or the store is gone.
+Every entry VM runs one instance; the holder of the lease plans, the others are standbys. Entries
+follow the last plan, so they keep working while no process holds the lease or the store is down.
 """
 
 import asyncio
@@ -32,16 +32,16 @@
 __all__ = ["LEASE_NAME", "SteerDaemon", "main"]
 
 LEASE_NAME = "steer"
-STEPS_PER_LEASE = 3
-BACKLOG = 50
+RENEWALS_PER_LEASE = 3
+LISTEN_BACKLOG = 50
 LOAD_TIMEOUT_S = 1.0
 SWEEP_INTERVAL_S = 5.0
-KEPT_S = 2 * 86_400.0
-"""Claims and outcomes of keys older than this are deleted; a key lives for a day at most."""
+KEY_RETENTION_S = 2 * 86_400.0
+"""Age above which claims and outcomes of keys are deleted; a key is valid for at most a day."""
 
 
 class SteerDaemon:
-    """Contends for the lease, and plans while it holds it."""
+    """Competes for the lease, and plans while it holds it."""
 
     def __init__(self, settings: SteerSettings) -> None:
         from twisted.internet import reactor
@@ -56,7 +56,7 @@
         self._store = open_store(settings.platform)
         self._vms = VmList(self._store)
         self._peers = PeerClient(PeerClientSettings(fetch_timeout=LOAD_TIMEOUT_S))
-        # A restarted process must not take its former self for the holder.
+        # A restarted process must not mistake the lease of its predecessor for its own.
         self._holder = f"{settings.holder_id}/{secrets.token_hex(8)}"
         writer = ConditionalWriter(self._store, lambda: secrets.token_hex(16))
         self._lease = Lease(
@@ -71,14 +71,14 @@
         self._sweeper = Sweeper(
             self._store,
             [*hex_prefixes("claims/"), *hex_prefixes("outcomes/")],
-            KEPT_S,
+            KEY_RETENTION_S,
             time.time,
         )
-        self._policies = PolicyReader(self._store)
+        self._policy_reader = PolicyReader(self._store)
         self._rounds = SteerRounds(
             self._lease,
             FencedWriter(self._lease, PLAN_NAME, writer),
-            self._policies,
+            self._policy_reader,
             Planner(settings.holder_id),
             Reporters(self._vms, self._peers).collect,
             time.monotonic,
@@ -86,20 +86,22 @@
         )
 
     async def start(self) -> None:
-        """Listen for status requests and begin to contend."""
+        """Listen for status requests and start to compete for the lease."""
         settings = self._settings
         site = status_site(self.status)
-        self._port = self._reactor.listenTCP(settings.status_port, site, BACKLOG, settings.host)
+        self._port = self._reactor.listenTCP(
+            settings.status_port, site, LISTEN_BACKLOG, settings.host
+        )
         loop = asyncio.get_running_loop()
-        step_interval = settings.lease_s / STEPS_PER_LEASE
+        renewal_interval_s = settings.lease_s / RENEWALS_PER_LEASE
         self._tasks = [
-            loop.create_task(_repeat(self._step, step_interval)),
-            loop.create_task(_repeat(self._round, settings.plan_interval_s)),
+            loop.create_task(_repeat(self._renew_lease, renewal_interval_s)),
+            loop.create_task(_repeat(self._run_round, settings.plan_interval_s)),
             loop.create_task(_repeat(self._sweep, SWEEP_INTERVAL_S)),
         ]
 
     async def stop(self) -> None:
-        """Stop planning, and give the lease up so that another need not wait for its end."""
+        """Stop planning, and release the lease so that a standby need not wait until it expires."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -112,7 +114,7 @@
         await self._store.close()
 
     def status(self) -> SteerStatus:
-        """Return what this process knows of itself."""
+        """Return the content of the status page."""
         plan = self._rounds.last_plan
         headroom: dict[str, dict[str, float]] = {}
         for (service, region), rate in sorted(self._rounds.headroom.items()):
@@ -130,7 +132,7 @@
             invariant_violations=dict(invariants.violations_by_name),
         )
 
-    async def _step(self) -> None:
+    async def _renew_lease(self) -> None:
         held_before = self._lease.is_held(time.monotonic())
         held = await self._lease.renew_or_acquire()
         if held_before and not held:
@@ -141,18 +143,18 @@
             deleted = await self._sweeper.step()
             self._metrics.count("swept", amount=deleted)
 
-    async def _round(self) -> None:
+    async def _run_round(self) -> None:
         await self._rounds.run()
 
 
-async def _repeat(work: Callable[[], Awaitable[None]], interval: float) -> None:
-    """Do some work again and again; a fault of ours is logged, and does not end the process."""
+async def _repeat(work: Callable[[], Awaitable[None]], interval_s: float) -> None:
+    """Repeat ``work`` at an interval; an internal error is logged and the loop continues."""
     while True:
         try:
             await work()
         except Exception as error:
             logs.event("internal-error", logging.ERROR, daemon="briarspur-steer", error=repr(error))
-        await asyncio.sleep(interval)
+        await asyncio.sleep(interval_s)
 
 
 def main(argv: Sequence[str] | None = None) -> int:
--- a/briarspur/steerround.py
+++ b/briarspur/steerround.py
@@ -1,4 +1,4 @@
-"""One holder's work under the lease: measure, plan, write the plan fenced by the lease's term."""
+"""Planning rounds of the lease holder: collect loads, plan, write the plan fenced by its term."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -19,50 +19,54 @@
 from briarspur.policy import Policy, compile_policy
 from briarspur.revision import POLICY_NAME, decode_revision
 
-__all__ = ["Holding", "PlanWriter", "PolicyReader", "SteerRounds"]
+__all__ = ["LeaseState", "PlanWriter", "PolicyReader", "SteerRounds"]
 
 
-class Holding(Protocol):
-    """The lease, as far as a round needs it."""
+class LeaseState(Protocol):
+    """The part of the lease that a round uses."""
 
     term: int
 
     def is_held(self, now: float) -> bool:
-        """Whether this process may act at ``now``."""
+        """Return whether this process holds the lease at ``now``."""
 
 
 class PlanWriter(Protocol):
-    """Writes the plan's object under the lease."""
+    """Writes the stored object of the plan while the lease is held."""
 
     @property
     def base(self) -> StoredObject | None:
-        """The object the next write is based on."""
+        """The stored object that the next write replaces."""
 
     async def write(self, body: str, now: float) -> object:
-        """Write; anything but ``Written`` means that the plan may not be in force."""
+        """Write the plan; with any outcome but ``Written`` it may not be in force."""
 
 
 class PolicyReader:
-    """Reads the policy; a read older than the last one, or a faulty one, changes nothing."""
+    """Reads the policy, and ignores versions that are invalid or older than the last one."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
         self.policy: Policy | None = None
 
     async def read(self) -> Policy | None:
-        """Return the newest policy seen; None if there was none yet."""
+        """Return the newest valid policy read so far, or None."""
         try:
-            found = await self._store.get(POLICY_NAME)
+            stored_policy = await self._store.get(POLICY_NAME)
         except StoreError:
             return self.policy
-        if found is None or (self.policy is not None and found.version <= self.policy.version):
+        if stored_policy is None or (
+            self.policy is not None and stored_policy.version <= self.policy.version
+        ):
             return self.policy
         try:
-            revision = decode_revision(found.value, found.version)
+            revision = decode_revision(stored_policy.value, stored_policy.version)
         except DocumentError as error:
-            logs.event("policy-rejected", logging.WARNING, version=found.version, error=str(error))
+            logs.event(
+                "policy-rejected", logging.WARNING, version=stored_policy.version, error=str(error)
+            )
             return self.policy
-        self.policy = compile_policy(revision.document, found.version)
+        self.policy = compile_policy(revision.document, stored_policy.version)
         return self.policy
 
 
@@ -71,12 +75,12 @@
 
     Parameters
     ----------
-    lease : Holding
+    lease : LeaseState
     writer : PlanWriter
-    policies : PolicyReader
+    policy_reader : PolicyReader
     planner : Planner
     collect : callable
-        Returns the load reports that came.
+        Returns the load reports that were received.
     clock : callable
         Monotonic seconds.
     metrics : Metrics
@@ -84,9 +88,9 @@
 
     def __init__(
         self,
-        lease: Holding,
+        lease: LeaseState,
         writer: PlanWriter,
-        policies: PolicyReader,
+        policy_reader: PolicyReader,
         planner: Planner,
         collect: Callable[[], Awaitable[list[LoadDocument]]],
         clock: Callable[[], float],
@@ -94,7 +98,7 @@
     ) -> None:
         self._lease = lease
         self._writer = writer
-        self._policies = policies
+        self._policy_reader = policy_reader
         self._planner = planner
         self._collect = collect
         self._clock = clock
@@ -106,13 +110,13 @@
         self.headroom: dict[tuple[str, str], float] = {}
 
     async def run(self) -> bool:
-        """Do one round; return whether a plan was written."""
+        """Run one round; return whether a plan was written."""
         if not self._lease.is_held(self._clock()):
             self._term = 0
             return False
         if self._term != self._lease.term:
-            self._begin()
-        policy = await self._policies.read()
+            self._begin_term()
+        policy = await self._policy_reader.read()
         reports = await self._collect()
         now = self._clock()
         self.entries_reporting = len(reports)
@@ -121,14 +125,14 @@
         if policy is None:
             return False
         self.policy_version = policy.version
-        self._measure(policy, now)
+        self._update_headroom(policy, now)
         plan = self._planner.next_plan(policy, now)
         return plan is not None and await self._write(plan)
 
-    def _begin(self) -> None:
-        """Go on from the plan that is in the store, under a new term."""
+    def _begin_term(self) -> None:
+        """Continue from the stored plan under a new term."""
         self._term = self._lease.term
-        self.last_plan = _stored_plan(self._writer.base)
+        self.last_plan = _parse_stored_plan(self._writer.base)
         self._planner.begin_term(self._term, self.last_plan, self._clock())
         logs.event("lease-taken", term=self._term)
 
@@ -144,21 +148,21 @@
             return True
         logs.event("plan-not-written", logging.WARNING, term=plan.term, outcome=repr(outcome))
         if isinstance(outcome, Unsettled):
-            # It may be in force: the next holder of a term reads it and goes on from there.
+            # It may be in force: the next term continues from the plan that is stored then.
             return False
-        # The planner took the step for done; start again from what is in force.
+        # The planner counted the step as done; start again from the plan that is in force.
         self._planner.begin_term(self._term, self.last_plan, self._clock())
         return False
 
-    def _measure(self, policy: Policy, now: float) -> None:
+    def _update_headroom(self, policy: Policy, now: float) -> None:
         self.headroom = self._planner.headroom(policy, now)
         for (service, region), rate in self.headroom.items():
             self._metrics.gauge("headroom", rate, f"{service}.{region}")
         self._metrics.gauge("entries_reporting", self.entries_reporting)
 
 
-def _stored_plan(stored: StoredObject | None) -> PlanDocument | None:
-    """Return the plan in the store; a faulty or absent one counts as none."""
+def _parse_stored_plan(stored: StoredObject | None) -> PlanDocument | None:
+    """Parse the stored plan; return None if it is absent or invalid."""
     if stored is None:
         return None
     opened: Result[Envelope, str] = open_envelope(stored.value)
--- a/briarspur/steerstatus.py
+++ b/briarspur/steerstatus.py
@@ -1,4 +1,4 @@
-"""What ``briarspur-steer`` says of itself at ``/status``."""
+"""The status page of ``briarspur-steer``, served at ``/status``."""
 
 from pydantic import BaseModel, ConfigDict
 
@@ -6,12 +6,12 @@
 
 
 class SteerStatus(BaseModel):
-    """What one ``briarspur-steer`` knows of itself.
+    """State of one ``briarspur-steer`` process.
 
     Attributes
     ----------
     headroom : dict
-        By service and region, the requests per second that could be taken beyond the present ones.
+        Additional requests per second that could be served, by service and region.
     """
 
     model_config = ConfigDict(frozen=True)
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -1,4 +1,4 @@
-"""Tests of the rounds of briarspur-steer, over a lease and a writer that fail as told."""
+"""Tests of the planning rounds of briarspur-steer, with a fake lease and a failing writer."""
 
 import json
 import unittest
@@ -27,7 +27,7 @@
 
 @dataclass
 class FakeLease:
-    """A lease that is held or not, as told."""
+    """A lease that is held while ``holds`` is set."""
 
     term: int = 1
     holds: bool = True
@@ -38,23 +38,23 @@
 
 @dataclass
 class FakeWriter:
-    """Keeps what is written, or refuses."""
+    """Records the plans written; raises an error while ``down``."""
 
     base: StoredObject | None = None
     down: bool = False
-    bodies: list[PlanDocument] = field(default_factory=list)
+    plans: list[PlanDocument] = field(default_factory=list)
 
     async def write(self, body: str, now: float) -> object:
         if self.down:
             raise StoreUnavailableError("down")
         plan = parse_plan(body)
-        self.bodies.append(plan)
+        self.plans.append(plan)
         self.base = StoredObject("plan", plan.number, Envelope("t", plan.term, body).encode())
         return Written(self.base)
 
 
 class FixedPolicy:
-    """Reads always the same policy."""
+    """Always returns the same policy."""
 
     def __init__(self) -> None:
         document = small_policy(targets=4)
@@ -67,7 +67,7 @@
 
 
 class SteerRoundsTest(unittest.IsolatedAsyncioTestCase):
-    """Only the holder plans, and never on top of what it does not know."""
+    """Only the lease holder plans, and only from the plan that is known to be in force."""
 
     def setUp(self) -> None:
         invariants.strict = True
@@ -75,14 +75,14 @@
         self.number = 0
         self.lease = FakeLease()
         self.writer = FakeWriter()
-        self.rounds = self.steer()
+        self.rounds = self.make_rounds()
 
-    def steer(self) -> SteerRounds:
+    def make_rounds(self) -> SteerRounds:
         planner = Planner("steer-1", SETTINGS)
         clock = lambda: self.now  # noqa: E731
-        policies = FixedPolicy()
+        policy_reader = FixedPolicy()
         return SteerRounds(
-            self.lease, self.writer, policies, planner, self.collect, clock, NullMetrics()
+            self.lease, self.writer, policy_reader, planner, self.collect, clock, NullMetrics()
         )
 
     async def collect(self) -> list[LoadDocument]:
@@ -112,52 +112,52 @@
             self.now += 1.0
             await self.rounds.run()
 
-    async def test_the_holder_writes_rising_plans(self) -> None:
+    async def test_the_holder_writes_plans_with_increasing_numbers(self) -> None:
         await self.run_for(20)
-        numbers = [plan.number for plan in self.writer.bodies]
+        numbers = [plan.number for plan in self.writer.plans]
         self.assertEqual(numbers, list(range(1, len(numbers) + 1)))
         self.assertGreaterEqual(len(numbers), 2)
 
     async def test_a_standby_writes_nothing(self) -> None:
         self.lease.holds = False
         await self.run_for(20)
-        self.assertEqual(self.writer.bodies, [])
+        self.assertEqual(self.writer.plans, [])
 
-    async def test_a_step_that_was_not_written_is_planned_anew(self) -> None:
-        """After a store outage the plan jumps by several steps at once.
+    async def test_a_step_that_was_not_written_is_planned_again(self) -> None:
+        """Guards against a plan that jumps by several steps at once after a store outage.
 
-        The planner had counted steps as done whose writes failed.
+        The planner counted steps as done although their writes had failed.
         """
         await self.run_for(7)
         self.writer.down = True
         await self.run_for(60)
         self.writer.down = False
-        before = self.writer.bodies[-1].splits["times"]["north"].shares["south"]
+        before = self.writer.plans[-1].splits["times"]["north"].shares["south"]
         await self.run_for(15)
-        after = [p.splits["times"]["north"].shares["south"] for p in self.writer.bodies]
+        after = [p.splits["times"]["north"].shares["south"] for p in self.writer.plans]
         self.assertLessEqual(after[after.index(before) + 1] - before, 4.0 / 90.0 + 1e-3)
 
-    async def test_a_new_term_goes_on_from_the_stored_plan(self) -> None:
+    async def test_a_new_term_continues_from_the_stored_plan(self) -> None:
         await self.run_for(20)
-        last = self.writer.bodies[-1]
+        last = self.writer.plans[-1]
         self.lease.term = 2
-        self.rounds = self.steer()
+        self.rounds = self.make_rounds()
         await self.run_for(10)
-        first = self.writer.bodies[-1]
+        first = self.writer.plans[-1]
         self.assertEqual((first.term, first.number), (2, 1))
         more = first.splits["times"]["north"].shares["south"]
         self.assertGreater(more, last.splits["times"]["north"].shares["south"])
 
-    async def test_a_broken_stored_plan_counts_as_none(self) -> None:
+    async def test_an_invalid_stored_plan_is_ignored(self) -> None:
         self.writer.base = StoredObject("plan", 4, b"not an envelope")
         await self.run_for(8)
-        self.assertEqual(self.writer.bodies[0].number, 1)
+        self.assertEqual(self.writer.plans[0].number, 1)
 
 
 class ReportersTest(unittest.IsolatedAsyncioTestCase):
-    """Silence is not a report."""
+    """Only entries with a valid response contribute a report."""
 
-    async def test_silent_and_faulty_entries_give_no_report(self) -> None:
+    async def test_silent_and_faulty_entries_contribute_no_report(self) -> None:
         good = LoadDocument(entry_id="entry-1", incarnation="a", region="north", number=1)
 
         class Vms:
