--- a/briarspur/burnreport.py
+++ b/briarspur/burnreport.py
@@ -1,4 +1,4 @@
-"""The service-level burn report: its content, its text and its self-contained page."""
+"""The service-level burn report: its data, its plain text and its self-contained HTML page."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
     ServiceBurn,
     Severity,
     Slot,
-    burn_of,
+    compute_burn,
     sum_slots,
 )
 
@@ -30,12 +30,12 @@
 
 QUANTILES = (0.5, 0.9, 0.99, 0.999)
 PLOT_QUANTILES = (0.0, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999)
-GRAVITY = (Severity.OK, Severity.UNKNOWN, Severity.TICKET, Severity.PAGE)
+SEVERITY_ORDER = (Severity.OK, Severity.UNKNOWN, Severity.TICKET, Severity.PAGE)
 
 
 @dataclass(frozen=True, slots=True)
 class LatencyLine:
-    """Quantiles of the latencies of whole answers, in seconds; None without answers."""
+    """Quantiles of the latencies of complete answers, in seconds; None without answers."""
 
     window: str
     answers: int
@@ -44,16 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceReport:
-    """One service: burn, latencies, and what its plots show.
+    """Burn, latencies and plot data of one service.
 
     Attributes
     ----------
     rate_points : tuple of Point
-        Burn rate by hour; the value is None where nothing is known.
+        Burn rate by hour; the value is None for hours without counts.
     coverage_points : tuple of Point
-        Part of the entries' time that is covered, by hour.
+        Share of the entries' time that is covered, by hour.
     latency_points : tuple of Point
-        Quantile to seconds, over the last three days.
+        Latency in seconds by quantile, over the last three days.
     """
 
     burn: ServiceBurn
@@ -65,12 +65,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BurnReport:
-    """The report at the Unix time ``made_at``, the gravest service first.
+    """The report at the Unix time ``made_at``, the most severe service first.
 
     Attributes
     ----------
     note : str
-        What a reader must know of where the counts come from; empty for a collected history.
+        Remark on the origin of the counts; empty if they come from the collected history.
     """
 
     user: str
@@ -80,9 +80,9 @@
 
     @property
     def severity(self) -> Severity:
-        """The gravest of all services."""
-        found = [service.burn.severity for service in self.services]
-        return max(found, key=GRAVITY.index, default=Severity.UNKNOWN)
+        """The highest severity of all services."""
+        severities = [service.burn.severity for service in self.services]
+        return max(severities, key=SEVERITY_ORDER.index, default=Severity.UNKNOWN)
 
 
 def make_report(
@@ -92,12 +92,14 @@
     now: float,
     note: str = "",
 ) -> BurnReport:
-    """Return the report on what was collected; a service without data is reported as unknown."""
+    """Return the report on collected data; a service without data is reported as unknown."""
     services = [
         _service_report(service, objective, series_by_service.get(service, LevelSeries()), now)
         for service, objective in objectives_by_service.items()
     ]
-    services.sort(key=lambda found: (-GRAVITY.index(found.burn.severity), found.burn.service))
+    services.sort(
+        key=lambda report: (-SEVERITY_ORDER.index(report.burn.severity), report.burn.service)
+    )
     return BurnReport(user, now, tuple(services), note)
 
 
@@ -109,31 +111,31 @@
 
 
 def report_html(report: BurnReport) -> str:
-    """Return the report as one page with its plots inside, without scripts or outside links."""
-    plotted = [(service, plots_of(service)) for service in report.services]
+    """Return the report as one HTML page with inline plots, without scripts or external links."""
+    plotted = [(service, make_plots(service)) for service in report.services]
     return pages.render("burn.html", report=report, plotted=plotted, rule_text=rule_text)
 
 
 def rule_text(rule: AlertRule) -> str:
-    """Return an alert rule in words."""
+    """Return a description of an alert rule."""
     return f"{rule.severity.value}: {rule.rate:g} over {rule.long.name} and {rule.short.name}"
 
 
 def _service_report(
     service: str, objective: Objective, series: LevelSeries, now: float
 ) -> ServiceReport:
-    burn = burn_of(service, objective, series.slots, now)
-    whole = series.latency()
+    burn = compute_burn(service, objective, series.slots, now)
+    latency_3d = series.latency()
     hours = _by_hour(series.slots)
     return ServiceReport(
         burn=burn,
         latencies=(
             _latency_line("1 h", series.latency_of_last_hour()),
-            _latency_line("3 d", whole),
+            _latency_line("3 d", latency_3d),
         ),
         rate_points=tuple(Point(hour.start, _rate(hour, objective)) for hour in hours),
         coverage_points=tuple(Point(hour.start, _coverage(hour)) for hour in hours),
-        latency_points=tuple(Point(q, quantile(whole, q)) for q in PLOT_QUANTILES),
+        latency_points=tuple(Point(q, quantile(latency_3d, q)) for q in PLOT_QUANTILES),
     )
 
 
@@ -143,22 +145,22 @@
 
 
 def _by_hour(slots: list[Slot]) -> list[Slot]:
-    """Return the sums by hour, with an empty slot for each hour between that has none."""
-    found: dict[int, list[Slot]] = {}
+    """Return the sums by hour, with an empty slot for each hour in between that has no data."""
+    slots_by_hour: dict[int, list[Slot]] = {}
     for slot in slots:
-        found.setdefault(slot.start // HOUR_S, []).append(slot)
-    if not found:
+        slots_by_hour.setdefault(slot.start // HOUR_S, []).append(slot)
+    if not slots_by_hour:
         return []
-    hours = range(min(found), max(found) + 1)
-    sums = {hour: sum_slots(found.get(hour, [])) for hour in hours}
+    hours = range(min(slots_by_hour), max(slots_by_hour) + 1)
+    sums = {hour: sum_slots(slots_by_hour.get(hour, [])) for hour in hours}
     for hour, total in sums.items():
         total.start = hour * HOUR_S
     return list(sums.values())
 
 
 def _rate(hour: Slot, objective: Objective) -> float | None:
-    counted = hour.good + hour.bad
-    return hour.bad / counted / (1.0 - objective.good_share) if counted else None
+    total = hour.good + hour.bad
+    return hour.bad / total / (1.0 - objective.good_share) if total else None
 
 
 def _coverage(hour: Slot) -> float:
@@ -171,7 +173,7 @@
     lines = [
         f"{burn.service}: {burn.severity.value.upper()}",
         f"  objective: {objective.good_share:.3%} whole within {objective.latency * 1000:g} ms",
-        f"  budget left over 3 d: {_percent(burn.budget_left)}",
+        f"  budget left over 3 d: {_format_percent(burn.budget_left)}",
     ]
     lines += [f"  fired: {rule_text(rule)}" for rule in burn.fired]
     lines.append("  window      good       bad    burn   data known")
@@ -182,27 +184,29 @@
             f"{window.coverage:>12.1%}"
         )
     for line in service.latencies:
-        shares = ", ".join(f"{name} {_ms(value)}" for name, value in line.by_quantile.items())
+        shares = ", ".join(
+            f"{name} {_format_ms(value)}" for name, value in line.by_quantile.items()
+        )
         lines.append(f"  latency over {line.window}: {shares} ({line.answers} answers)")
-    lines += _worst_lines(burn)
+    lines += _worst_offender_lines(burn)
     lines += [f"  missing: {reason} ({count} min)" for reason, count in burn.missing]
     return "\n".join(lines)
 
 
-def _worst_lines(burn: ServiceBurn) -> list[str]:
+def _worst_offender_lines(burn: ServiceBurn) -> list[str]:
     worst = {
         "regions": burn.worst_regions,
         "codes": burn.worst_codes,
         "entries": burn.worst_entries,
     }
     return [
-        f"  worst {kind}: " + ", ".join(f"{key} {count}" for key, count in found)
-        for kind, found in worst.items()
-        if found
+        f"  worst {kind}: " + ", ".join(f"{key} {count}" for key, count in counts)
+        for kind, counts in worst.items()
+        if counts
     ]
 
 
-def plots_of(service: ServiceReport) -> dict[str, str]:
+def make_plots(service: ServiceReport) -> dict[str, str]:
     """Return the SVG plots of a service by name."""
     thresholds = [Threshold(rule.rate, f"{rule.rate:g}") for rule in ALERT_RULES]
     latency = Threshold(service.burn.objective.latency * 1000, "objective")
@@ -217,9 +221,9 @@
     }
 
 
-def _percent(share: float | None) -> str:
+def _format_percent(share: float | None) -> str:
     return "unknown" if share is None else f"{share:.1%}"
 
 
-def _ms(seconds: float | None) -> str:
+def _format_ms(seconds: float | None) -> str:
     return "-" if seconds is None else f"{seconds * 1000:.1f} ms"
--- a/briarspur/serviceview.py
+++ b/briarspur/serviceview.py
@@ -20,7 +20,7 @@
 from briarspur.porcelain import Directory
 from briarspur.repository import PolicyRepository
 from briarspur.status import BudgetStatus, FleetStatus
-from briarspur.windows import SLOT_S, Severity, split_now
+from briarspur.windows import SLOT_S, Severity, current_split
 
 __all__ = ["RegionView", "ServiceView"]
 
@@ -90,7 +90,7 @@
         report = await self._report(name)
         fleet = await self.fleet()
         plan = await read_plan(self._store)
-        shares = split_now((await self._series(name)).slots, self._wall())
+        shares = current_split((await self._series(name)).slots, self._wall())
         return {
             "name": name,
             "policy_version": policy.version,
@@ -100,7 +100,7 @@
             "regions": [_region(policy, name, r, shares, fleet) for r in policy.regions_by_name],
             "fleet": fleet,
             "report": report,
-            "plots": burnreport.plots_of(report) if report else {},
+            "plots": burnreport.make_plots(report) if report else {},
             "rule_text": burnreport.rule_text,
         }
 
--- a/briarspur/windows.py
+++ b/briarspur/windows.py
@@ -1,7 +1,7 @@
-"""Burn of a service's error budget over windows, from counts by time slot; pure.
+"""Compute the burn of a service's error budget over windows, from counts by time slot; pure.
 
-A slot holds what was counted in one minute. Data that is missing is kept as missing: it is shown as
-coverage, and a window that lacks data is never reported as good.
+A slot holds the counts of one minute. Missing data is recorded as missing and shown as coverage; a
+window that lacks data is never reported as good.
 """
 
 from collections import Counter
@@ -24,9 +24,9 @@
     "Slot",
     "Window",
     "WindowBurn",
-    "burn_of",
     "coalesce",
-    "split_now",
+    "compute_burn",
+    "current_split",
     "sum_slots",
 ]
 
@@ -34,11 +34,11 @@
 MINUTE_S = 60
 HOUR_S = 3_600
 DAY_S = 86_400
-FULL_COVERAGE = 0.99
+MIN_OK_COVERAGE_SHARE = 0.99
 
 
 class Severity(Enum):
-    """What an operator is asked to do."""
+    """What an operator should do."""
 
     OK = "ok"
     UNKNOWN = "unknown"
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """A span of time that ends now; ``seconds`` long."""
+    """A period of ``seconds`` that ends now."""
 
     name: str
     seconds: int
@@ -67,7 +67,7 @@
 class AlertRule:
     """Fires while the burn rate is at or above ``rate`` over both windows.
 
-    The long window shows that it matters; the short one, that it still goes on.
+    The long window shows that the burn is significant; the short one, that it is still going on.
     """
 
     severity: Severity
@@ -85,22 +85,23 @@
 
 @dataclass(slots=True)
 class Slot:
-    """What was counted for one service in the minutes from ``start`` on.
+    """Counts of one service in the minutes from ``start`` on.
 
     Attributes
     ----------
     start : int
         Unix time in seconds, a multiple of ``SLOT_S``.
     minutes : int
-        How many minutes it sums; more than 1 only for hours long past.
+        Number of minutes summed; more than 1 only for hours before the last six.
     expected_s, covered_s : float
-        Entry-seconds that there were, and those of which counts are known.
+        Entry-seconds that passed, and those for which counts are known.
     all_by_region : Counter
-        All answers by the region that gave them.
+        All answers by the region that sent them.
     bad_by_region, bad_by_code, bad_by_entry : Counter
-        Bad answers by each key; codes by number.
+        Bad answers by region, numeric code, and entry.
     missing : Counter
-        Reasons why entry-seconds are not covered, such as ``entry-7: no answer``, with how many.
+        Reasons why entry-seconds are not covered, such as ``entry-7: no answer``, with their
+        number.
     """
 
     start: int
@@ -123,10 +124,10 @@
     Attributes
     ----------
     rate : float or None
-        Share of bad answers over the share that the objective allows; 1 spends the budget exactly.
-        None if nothing was counted.
+        Share of bad answers divided by the share that the objective allows; 1 uses up the budget
+        exactly. None if nothing was counted.
     coverage : float
-        Part of the window's entry-seconds of which counts are known.
+        Share of the window's entry-seconds for which counts are known.
     """
 
     window: Window
@@ -143,10 +144,10 @@
     Attributes
     ----------
     budget_left : float or None
-        Part of the bad answers allowed over the longest window that is not used up; negative if
-        overspent, None if nothing was counted.
+        Unused share of the bad answers allowed over the longest window; negative if overspent,
+        None if nothing was counted.
     worst_regions, worst_codes, worst_entries : tuple
-        Keys with their bad answers over the longest window, the worst first.
+        Keys with their number of bad answers over the longest window, the worst first.
     missing : tuple of (str, int)
         Reasons for missing data, with the number of slots, the most frequent first.
     """
@@ -163,31 +164,33 @@
     missing: tuple[tuple[str, int], ...]
 
 
-def burn_of(service: str, objective: Objective, slots: Sequence[Slot], now: float) -> ServiceBurn:
+def compute_burn(
+    service: str, objective: Objective, slots: Sequence[Slot], now: float
+) -> ServiceBurn:
     """Return the burn of a service at the Unix time ``now``.
 
-    The minute that ``now`` is in has not ended and is left out.
+    The minute that contains ``now`` has not ended and is left out.
     """
     end = int(now // SLOT_S) * SLOT_S
     burns = {w.name: _window_burn(w, objective, slots, end) for w in REPORT_WINDOWS}
     fired = tuple(rule for rule in ALERT_RULES if _fires(rule, burns))
-    whole = sum_slots(_within(slots, THREE_DAYS, end))
+    total = sum_slots(_slots_in_window(slots, THREE_DAYS, end))
     return ServiceBurn(
         service=service,
         objective=objective,
         severity=_severity(fired, burns),
         fired=fired,
         windows=tuple(burns.values()),
-        budget_left=_budget_left(whole, objective),
-        worst_regions=tuple(whole.bad_by_region.most_common(5)),
-        worst_codes=tuple(whole.bad_by_code.most_common(5)),
-        worst_entries=tuple(whole.bad_by_entry.most_common(5)),
-        missing=tuple(whole.missing.most_common(10)),
+        budget_left=_budget_left(total, objective),
+        worst_regions=tuple(total.bad_by_region.most_common(5)),
+        worst_codes=tuple(total.bad_by_code.most_common(5)),
+        worst_entries=tuple(total.bad_by_entry.most_common(5)),
+        missing=tuple(total.missing.most_common(10)),
     )
 
 
 def sum_slots(slots: Iterable[Slot]) -> Slot:
-    """Return one slot with the sums of all; it starts with the first."""
+    """Return one slot with the sums of all slots; its start is that of the first one."""
     total = Slot(0, minutes=0)
     for slot in slots:
         total.start = total.start or slot.start
@@ -207,7 +210,7 @@
 def coalesce(slots: Sequence[Slot], now: float) -> list[Slot]:
     """Return the slots of the last six hours by minute and older ones by hour, three days in all.
 
-    Bounds what a reader holds: 360 and 72 slots a service instead of 4,320.
+    This bounds the memory of a reader to 360 and 72 slots per service; without it there are 4,320.
     """
     end = int(now // SLOT_S) * SLOT_S
     recent = end - SIX_HOURS.seconds
@@ -220,37 +223,37 @@
             result.append(slot)
         else:
             by_hour.setdefault(slot.start // HOUR_S, []).append(slot)
-    return [sum_slots(found) for _, found in sorted(by_hour.items())] + result
+    return [sum_slots(group) for _, group in sorted(by_hour.items())] + result
 
 
-def split_now(slots: Sequence[Slot], now: float) -> dict[str, float]:
-    """Return the share of answers that each region gave over the last five whole minutes."""
+def current_split(slots: Sequence[Slot], now: float) -> dict[str, float]:
+    """Return each region's share of the answers in the last five complete minutes."""
     end = int(now // SLOT_S) * SLOT_S
-    counts = sum_slots(_within(slots, FIVE_MINUTES, end)).all_by_region
+    counts = sum_slots(_slots_in_window(slots, FIVE_MINUTES, end)).all_by_region
     total = counts.total()
     return {region: count / total for region, count in sorted(counts.items())} if total else {}
 
 
-def _within(slots: Sequence[Slot], window: Window, end: int) -> list[Slot]:
+def _slots_in_window(slots: Sequence[Slot], window: Window, end: int) -> list[Slot]:
     return [slot for slot in slots if end - window.seconds <= slot.start < end]
 
 
 def _window_burn(
     window: Window, objective: Objective, slots: Sequence[Slot], end: int
 ) -> WindowBurn:
-    total = sum_slots(_within(slots, window, end))
+    total = sum_slots(_slots_in_window(slots, window, end))
     counted = total.good + total.bad
-    allowed = 1.0 - objective.good_share
-    rate = total.bad / counted / allowed if counted else None
+    allowed_bad_share = 1.0 - objective.good_share
+    rate = total.bad / counted / allowed_bad_share if counted else None
     return WindowBurn(window, total.good, total.bad, rate, _coverage(window, total))
 
 
 def _coverage(window: Window, total: Slot) -> float:
-    """Return the covered part of a window; a minute without a slot is not covered at all."""
+    """Return the covered share of a window; a minute without a slot counts as not covered."""
     if total.expected_s <= 0.0:
         return 0.0
-    present = min(total.minutes * SLOT_S / window.seconds, 1.0)
-    return min(total.covered_s / total.expected_s, 1.0) * present
+    present_share = min(total.minutes * SLOT_S / window.seconds, 1.0)
+    return min(total.covered_s / total.expected_s, 1.0) * present_share
 
 
 def _fires(rule: AlertRule, burns: dict[str, WindowBurn]) -> bool:
@@ -260,22 +263,22 @@
 
 
 def _severity(fired: Sequence[AlertRule], burns: dict[str, WindowBurn]) -> Severity:
-    """Return the gravest alert.
+    """Return the highest severity of the alerts fired.
 
-    Guards against a quiet report while entries are silent: without full data over the shortest
-    window, "ok" cannot be known, so it is "unknown".
+    Without complete data over the shortest window the result is "unknown" and not "ok", so that a
+    report cannot look healthy while entries do not respond.
     """
     if any(rule.severity is Severity.PAGE for rule in fired):
         return Severity.PAGE
     if fired:
         return Severity.TICKET
-    if burns[FIVE_MINUTES.name].coverage < FULL_COVERAGE:
+    if burns[FIVE_MINUTES.name].coverage < MIN_OK_COVERAGE_SHARE:
         return Severity.UNKNOWN
     return Severity.OK
 
 
-def _budget_left(whole: Slot, objective: Objective) -> float | None:
-    counted = whole.good + whole.bad
+def _budget_left(total: Slot, objective: Objective) -> float | None:
+    counted = total.good + total.bad
     if counted == 0:
         return None
-    return 1.0 - whole.bad / (counted * (1.0 - objective.good_share))
+    return 1.0 - total.bad / (counted * (1.0 - objective.good_share))
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Tests of collecting service levels and of the report."""
+"""Tests of the collection of service levels and of the burn report."""
 
 import json
 import unittest
@@ -13,7 +13,7 @@
 from briarspur.plots import Point, value_plot
 from briarspur.printing import to_json
 from briarspur.repository import PolicyRepository
-from briarspur.windows import SLOT_S, Severity, split_now
+from briarspur.windows import SLOT_S, Severity, current_split
 from tests.examples import small_policy
 from tests.fakes import FakeStore, skip_sleep
 from tests.test_porcelain import FakeEntries
@@ -22,7 +22,7 @@
 
 
 class BurnTest(unittest.IsolatedAsyncioTestCase):
-    """From the entries' counts through the store to the report."""
+    """Counts of entries are collected into the store and appear in the report."""
 
     async def asyncSetUp(self) -> None:
         self.store = FakeStore()
@@ -33,14 +33,14 @@
         self.reader = BurnReader(self.entries, self.entries)
         self.history = LevelHistory(self.store)
         self.now = START
-        self.collects = True
+        self.may_write = True
         self.burn = Burn(
-            self.repository, self.reader, self.history, lambda: self.collects, lambda: self.now
+            self.repository, self.reader, self.history, lambda: self.may_write, lambda: self.now
         )
         self.levels = Levels("e1", "a", "north-a", START - 1_000)
         self.levels.set_objectives({"times": 0.5, "booking": 0.5})
 
-    async def minute(self, good: int, bad: int) -> None:
+    async def collect_minute(self, good: int, bad: int) -> None:
         for _ in range(good):
             self.levels.record("times", "north", Code.ANSWERED, 0.02)
         for _ in range(bad):
@@ -54,16 +54,16 @@
         assert report is not None
         return report
 
-    async def test_the_status_page_says_when_it_last_collected(self) -> None:
+    async def test_the_status_is_ready_only_after_a_recent_collection(self) -> None:
         self.assertFalse(self.burn.status().ready)
-        await self.minute(good=1, bad=0)
+        await self.collect_minute(good=1, bad=0)
         self.assertTrue(self.burn.status().ready)
         self.now += 10 * SLOT_S
         self.assertFalse(self.burn.status().ready)
 
-    async def test_what_burns_and_what_is_missing_is_named(self) -> None:
+    async def test_the_report_names_the_worst_service_and_missing_data(self) -> None:
         for _ in range(7):
-            await self.minute(good=90, bad=10)
+            await self.collect_minute(good=90, bad=10)
         report = await self.report()
         worst = report.services[0].burn
         self.assertEqual((worst.service, worst.severity), ("times", Severity.PAGE))
@@ -75,62 +75,62 @@
         self.assertIn("p99 20", text)
         json.loads(to_json(report))
         series = await self.history.read("times", self.now)
-        self.assertEqual(split_now(series.slots, self.now), {"north": 0.9, "south": 0.1})
+        self.assertEqual(current_split(series.slots, self.now), {"north": 0.9, "south": 0.1})
 
-    async def test_the_page_stands_alone_and_is_escaped(self) -> None:
-        await self.minute(good=5, bad=0)
-        await self.minute(good=5, bad=0)
+    async def test_the_page_is_self_contained_and_escaped(self) -> None:
+        await self.collect_minute(good=5, bad=0)
+        await self.collect_minute(good=5, bad=0)
         page = report_html(await self.report())
         self.assertIn("<svg", page)
         self.assertIn("&lt;b&gt;e2", page)
         for outside in ("<b>e2", "http:", "https:", "<script", "url("):
             self.assertNotIn(outside, page)
 
-    async def test_minutes_wait_for_the_store(self) -> None:
-        # The store is down for some minutes while callers are refused. Had the collector dropped
-        # those minutes, the outage would be missing from the report of the very time it hurt.
-        await self.minute(good=1, bad=0)
+    async def test_minutes_are_kept_until_the_store_accepts_them(self) -> None:
+        # The store is down for some minutes while requests are refused. If the collector dropped
+        # these minutes, the report would omit the outage.
+        await self.collect_minute(good=1, bad=0)
         self.store.lost_requests = 100
-        await self.minute(good=0, bad=4)
+        await self.collect_minute(good=0, bad=4)
         self.store.lost_requests = 0
-        await self.minute(good=1, bad=0)
+        await self.collect_minute(good=1, bad=0)
         report = await self.report()
         times = next(s.burn for s in report.services if s.burn.service == "times")
         self.assertEqual((times.windows[0].good, times.windows[0].bad), (1, 4))
 
-    async def test_a_store_outage_does_not_silence_the_entries(self) -> None:
-        # The platform is down for two minutes; callers are refused meanwhile. The collector goes
-        # on with the policy and the list it has, and writes when the platform is back.
-        await self.minute(good=1, bad=0)
+    async def test_a_store_outage_does_not_hide_the_counts_of_entries(self) -> None:
+        # The platform is down for two minutes while requests are refused. The collector continues
+        # with its last policy and list of entries, and writes when the platform is available again.
+        await self.collect_minute(good=1, bad=0)
         self.store.down = True
-        await self.minute(good=0, bad=4)
-        await self.minute(good=0, bad=3)
+        await self.collect_minute(good=0, bad=4)
+        await self.collect_minute(good=0, bad=3)
         self.store.down = False
-        await self.minute(good=1, bad=0)
+        await self.collect_minute(good=1, bad=0)
         report = await self.report()
         times = next(s.burn for s in report.services if s.burn.service == "times")
         self.assertEqual((times.windows[0].good, times.windows[0].bad), (1, 7))
 
-    async def test_a_change_of_collectors_loses_no_minute_and_counts_none_twice(self) -> None:
-        # One collector loses its lease, another counts for a while and is killed, the first takes
-        # over again. A difference from long ago would count the other's minutes again; beginning
-        # afresh would lose the minutes around each change.
+    async def test_a_change_of_collectors_neither_loses_nor_repeats_minutes(self) -> None:
+        # One collector loses its lease, another collects for a while and is killed, then the first
+        # takes over again. A difference from its old counts would repeat the other's minutes;
+        # starting anew would lose the minutes around each change.
         other = Burn(self.repository, self.reader, self.history, lambda: True, lambda: self.now)
-        await self.minute(good=1, bad=0)
+        await self.collect_minute(good=1, bad=0)
         await other.collect()
-        self.collects = False
-        await self.minute(good=5, bad=0)
+        self.may_write = False
+        await self.collect_minute(good=5, bad=0)
         await other.collect()
-        await self.minute(good=5, bad=2)
+        await self.collect_minute(good=5, bad=2)
         await other.collect()
-        await self.minute(good=4, bad=1)
-        self.collects = True
-        await self.minute(good=1, bad=0)
+        await self.collect_minute(good=4, bad=1)
+        self.may_write = True
+        await self.collect_minute(good=1, bad=0)
         report = await self.report()
         times = next(s.burn for s in report.services if s.burn.service == "times")
         self.assertEqual((times.windows[0].good, times.windows[0].bad), (15, 3))
 
-    async def test_without_a_collector_the_entries_sums_are_shown(self) -> None:
+    async def test_a_live_report_shows_totals_without_a_collector(self) -> None:
         self.levels.record("times", "north", Code.ANSWERED, 0.02)
         self.entries.answers["e1"] = self.levels.snapshot(self.now)
         report = await live_report(self.repository, self.reader, self.now)
@@ -140,9 +140,9 @@
 
 
 class PlotTest(unittest.TestCase):
-    """A plot never joins what was measured across a gap."""
+    """A plot does not connect points across a gap."""
 
-    def test_a_gap_breaks_the_line(self) -> None:
+    def test_a_gap_interrupts_the_line(self) -> None:
         points = [Point(0, 1.0), Point(1, 2.0), Point(2, None), Point(3, 2.0), Point(4, 1.0)]
         self.assertEqual(value_plot("t", points, []).count("<polyline"), 2)
         self.assertIn("no data", value_plot("t", [Point(0, None)], []))
