--- a/briarspur/burn.py
+++ b/briarspur/burn.py
@@ -84,7 +84,7 @@
     levels = await reader.read()
     collector = Collector()
     fresh = [d.model_copy(update={"uptime_s": 0.0}) for d in levels.documents]
-    counted = collector.take(now, policy.services_by_name, fresh, levels.failures_by_entry)
+    counted = collector.collect(now, policy.services_by_name, fresh, levels.failures_by_entry)
     series: dict[str, LevelSeries] = {}
     for service, found in counted.items():
         series[service] = LevelSeries()
--- a/briarspur/burncollect.py
+++ b/briarspur/burncollect.py
@@ -11,7 +11,7 @@
 from pydantic import BaseModel, ConfigDict, ValidationError
 
 from briarspur import logs
-from briarspur.collect import Collector, Counted
+from briarspur.collect import Collector, MinuteCounts
 from briarspur.coord.errors import StoreError
 from briarspur.errors import DocumentError, PeerError
 from briarspur.fetch import Endpoint, Fetcher
@@ -135,7 +135,7 @@
         self._wall = wall
         self._collector = Collector()
         self._policy: Policy | None = None
-        self._pending_by_service: dict[str, list[Counted]] = {}
+        self._pending_by_service: dict[str, list[MinuteCounts]] = {}
         self._collected_at = -math.inf
 
     def status(self) -> BurnStatus:
@@ -170,7 +170,7 @@
             return
         levels = await self._reader.read()
         now = self._wall()
-        counted = self._collector.take(
+        counted = self._collector.collect(
             now, self._policy.services_by_name, levels.documents, levels.failures_by_entry
         )
         for service, minute in counted.items():
@@ -193,7 +193,7 @@
             return
         self._policy = compile_policy(current.document, current.version) if current else None
 
-    async def _write(self, service: str, pending: list[Counted]) -> None:
+    async def _write(self, service: str, pending: list[MinuteCounts]) -> None:
         """Write the minutes that wait, the oldest first; what cannot be written waits on."""
         while pending:
             try:
--- a/briarspur/levelhistory.py
+++ b/briarspur/levelhistory.py
@@ -10,7 +10,7 @@
 
 from pydantic import Field, ValidationError
 
-from briarspur.collect import Counted
+from briarspur.collect import MinuteCounts
 from briarspur.coord.errors import StoreConflictError, StoreError, StoreUnavailableError
 from briarspur.coord.store import ABSENT, ObjectStore, StoredObject
 from briarspur.documents import Document, faults_of
@@ -60,7 +60,7 @@
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
-    async def write(self, service: str, counted: Counted) -> None:
+    async def write(self, service: str, counted: MinuteCounts) -> None:
         """Add one minute.
 
         Raises
--- a/briarspur/levels.py
+++ b/briarspur/levels.py
@@ -1,12 +1,12 @@
 """Service-level counts of one entry since its start, and the document that reports them.
 
-An entry answers ``/status/service-level`` with :class:`LevelsDocument`. Counts only rise within an
-incarnation; a reader takes differences of two documents of one incarnation and so keeps no state in
-the entry.
+An entry serves :class:`LevelsDocument` at ``/status/service-level``. Counts never decrease within
+an incarnation; a reader subtracts two documents of one incarnation, so the entry keeps no state per
+reader.
 
-A request is good if its caller got a whole answer within the objective's latency. Refusals that the
-caller alone can mend (codes 2000 to 2008: malformed, unknown, too large, too slow) are not counted:
-they say nothing of the service.
+A request is good if its caller received a complete answer within the objective's latency. Refusals
+that only the caller can resolve (codes 2000 to 2008: malformed, unknown, too large, too slow) are
+not counted, because they say nothing about the service.
 """
 
 from collections.abc import Mapping
@@ -20,41 +20,41 @@
 __all__ = [
     "LEVELS_PATH",
     "Count",
-    "Levels",
     "LevelsDocument",
+    "ServiceLevelCounter",
     "ServiceLevelDocument",
     "is_counted",
 ]
 
 LEVELS_PATH = "/status/service-level"
-WHOLE_CODES = frozenset({Code.ANSWERED, Code.REPLAYED})
-CALLERS_FAULTS = range(2000, 2100)
-GOOD = 0
-BAD = 1
+COMPLETE_CODES = frozenset({Code.ANSWERED, Code.REPLAYED})
+CALLER_ERROR_CODES = range(2000, 2100)
+GOOD_INDEX = 0
+BAD_INDEX = 1
 
 
 class _Report(BaseModel):
-    """Base of what entries report; other keys of a newer entry are ignored."""
+    """Base of the documents that entries report; unknown keys of a newer entry are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
 class Count(NamedTuple):
-    """Good and bad answers since the incarnation's start; a pair in JSON."""
+    """Good and bad answers since the incarnation started; a pair in JSON."""
 
     good: NonNegativeInt
     bad: NonNegativeInt
 
 
 class ServiceLevelDocument(_Report):
-    """One service: counts by region and code, and an encoded histogram of whole answers."""
+    """One service: counts by region and code, and an encoded histogram of complete answers."""
 
     counts: dict[str, dict[int, Count]]
     latency: str = ""
 
 
 class LevelsDocument(_Report):
-    """What an entry counted since ``incarnation`` started, ``uptime_s`` seconds ago."""
+    """Counts of an entry since ``incarnation`` started, ``uptime_s`` seconds ago."""
 
     entry_id: str
     incarnation: str
@@ -63,13 +63,13 @@
     services: dict[str, ServiceLevelDocument]
 
 
-class Levels:
-    """Counts final answers; one call a request, about a microsecond.
+class ServiceLevelCounter:
+    """Counts final answers; one call of about a microsecond per request.
 
     Parameters
     ----------
     started : float
-        The shell's monotonic clock at the incarnation's start.
+        Start of the incarnation, on the monotonic clock that is passed to :meth:`snapshot`.
     """
 
     def __init__(self, entry_id: str, incarnation: str, zone: str, started: float) -> None:
@@ -82,10 +82,10 @@
         self._latency_by_service: dict[str, Histogram] = {}
 
     def set_objectives(self, latency_by_service: Mapping[str, float]) -> None:
-        """Take the latency bounds, in seconds, of the policy that came into force.
+        """Set the latency bounds, in seconds, of the policy that came into force.
 
-        Counts stay as they were taken. A service that is no longer in the policy is not counted
-        any more; what was counted is still reported, because counts may only rise.
+        Existing counts do not change. A service that is no longer in the policy is not counted any
+        more; its counts are still reported, because counts must not decrease.
         """
         self._bounds_by_service = dict(latency_by_service)
         for service in latency_by_service:
@@ -98,21 +98,21 @@
         Parameters
         ----------
         region : str
-            Where it ran, or the entry's own region if it was not dispatched.
+            Region in which the request ran, or the entry's region if it was not dispatched.
         seconds : float
-            From the request's arrival to the answer's last byte.
+            Time from the arrival of the request to the last byte of the answer.
         """
-        bound = self._bounds_by_service.get(service)
-        if bound is None or code in CALLERS_FAULTS:
+        latency_bound = self._bounds_by_service.get(service)
+        if latency_bound is None or code in CALLER_ERROR_CODES:
             return
         key = (service, region, code)
-        cell = self._counts.get(key)
-        if cell is None:
-            cell = self._counts[key] = [0, 0]
-        if code not in WHOLE_CODES:
-            cell[BAD] += 1
+        pair = self._counts.get(key)
+        if pair is None:
+            pair = self._counts[key] = [0, 0]
+        if code not in COMPLETE_CODES:
+            pair[BAD_INDEX] += 1
             return
-        cell[GOOD if seconds <= bound else BAD] += 1
+        pair[GOOD_INDEX if seconds <= latency_bound else BAD_INDEX] += 1
         microseconds = min(max(int(seconds * US_PER_S), 1), HIGHEST_US)
         self._latency_by_service[service].record_value(microseconds)
 
@@ -135,5 +135,5 @@
 
 
 def is_counted(code: int) -> bool:
-    """Return whether an answer with this code counts for or against the service level."""
-    return code not in CALLERS_FAULTS
+    """Return whether an answer with this code is counted as good or bad."""
+    return code not in CALLER_ERROR_CODES
--- a/briarspur/node.py
+++ b/briarspur/node.py
@@ -16,7 +16,7 @@
 from briarspur.coord.store import StoredObject
 from briarspur.core import Core, CoreSettings
 from briarspur.errors import DocumentError
-from briarspur.levels import Levels
+from briarspur.levels import ServiceLevelCounter
 from briarspur.loadreport import LoadMeter, SlotCount
 from briarspur.lookup import LookupTable
 from briarspur.members import MemberView
@@ -79,7 +79,9 @@
         self._metrics = metrics
         self._clock = clock
         self._started = clock.monotonic()
-        self._levels = Levels(settings.entry_id, incarnation, settings.zone, self._started)
+        self._levels = ServiceLevelCounter(
+            settings.entry_id, incarnation, settings.zone, self._started
+        )
         self._blocks: BlockTable | None = None
         self._lookups: LookupTable | None = None
         self._leaving_seen_by_target: dict[str, float] = {}
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -9,7 +9,7 @@
 from briarspur.codes import Code
 from briarspur.coord.store import ABSENT
 from briarspur.levelhistory import LevelHistory
-from briarspur.levels import Levels
+from briarspur.levels import ServiceLevelCounter
 from briarspur.plots import Point, value_plot
 from briarspur.printing import to_json
 from briarspur.repository import PolicyRepository
@@ -37,7 +37,7 @@
         self.burn = Burn(
             self.repository, self.reader, self.history, lambda: self.may_write, lambda: self.now
         )
-        self.levels = Levels("e1", "a", "north-a", START - 1_000)
+        self.levels = ServiceLevelCounter("e1", "a", "north-a", START - 1_000)
         self.levels.set_objectives({"times": 0.5, "booking": 0.5})
 
     async def collect_minute(self, good: int, bad: int) -> None:
--- a/tests/test_levelhistory.py
+++ b/tests/test_levelhistory.py
@@ -3,7 +3,7 @@
 import unittest
 from collections import Counter
 
-from briarspur.collect import Counted
+from briarspur.collect import MinuteCounts
 from briarspur.coord.errors import StoreError
 from briarspur.latency import new_histogram
 from briarspur.levelhistory import LevelHistory, hour_name
@@ -13,13 +13,13 @@
 NOW = 480_000 * HOUR_S
 
 
-def counted(start: int, good: int = 10, covered_s: float = 60.0) -> Counted:
+def counted(start: int, good: int = 10, covered_s: float = 60.0) -> MinuteCounts:
     latency = new_histogram()
     latency.record_value(20_000, good)
     slot = Slot(start, good=good, bad=1, expected_s=60.0, covered_s=covered_s)
     slot.bad_by_code = Counter({2101: 1})
     slot.missing = Counter({f"e{n}: no answer": 1 for n in range(40)})
-    return Counted(slot, latency)
+    return MinuteCounts(slot, latency)
 
 
 class LevelHistoryTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -1,4 +1,4 @@
-"""Tests of the entry's counts and of their way into minutes."""
+"""Tests of the counts of entries and of their conversion into counts per minute."""
 
 import gc
 import tracemalloc
@@ -8,18 +8,18 @@
 from briarspur.codes import Code
 from briarspur.collect import Collector
 from briarspur.latency import Histogram, decode, encode, merge, new_histogram, quantile, subtract
-from briarspur.levels import Levels, LevelsDocument
+from briarspur.levels import LevelsDocument, ServiceLevelCounter
 
 SERVICES = ["times"]
 
 
-def entry(name: str = "e1", incarnation: str = "a", started: float = 0.0) -> Levels:
-    levels = Levels(name, incarnation, "north-a", started)
+def entry(name: str = "e1", incarnation: str = "a", started: float = 0.0) -> ServiceLevelCounter:
+    levels = ServiceLevelCounter(name, incarnation, "north-a", started)
     levels.set_objectives({"times": 0.5})
     return levels
 
 
-def report(levels: Levels, now: float) -> LevelsDocument:
+def report(levels: ServiceLevelCounter, now: float) -> LevelsDocument:
     return LevelsDocument.model_validate(levels.snapshot(now))
 
 
@@ -31,9 +31,9 @@
 
 
 class LevelsTest(unittest.TestCase):
-    """What counts as good, as bad and not at all."""
+    """Classification of answers as good, bad or not counted."""
 
-    def test_late_and_refused_answers_are_bad_and_callers_faults_do_not_count(self) -> None:
+    def test_late_and_refused_answers_are_bad_and_caller_errors_are_not_counted(self) -> None:
         levels = entry()
         levels.record("times", "north", Code.ANSWERED, 0.5)
         levels.record("times", "north", Code.ANSWERED, 0.6)
@@ -58,79 +58,82 @@
 
 
 class MemoryTest(unittest.TestCase):
-    """What was merged is freed at once."""
+    """Merged histograms are freed at once."""
 
-    def test_merged_histograms_do_not_wait_for_the_collector_of_cycles(self) -> None:
-        # A collector reads thousands of histograms of 30 KB a minute. Kept alive by a cycle, they
-        # add up to hundreds of megabytes before Python looks for cycles, and its VM kills it.
+    def test_merged_histograms_are_freed_without_the_cyclic_garbage_collector(self) -> None:
+        # A collector reads thousands of histograms of 30 KB a minute. If reference cycles kept them
+        # alive, they would reach hundreds of megabytes before Python's cyclic garbage collector
+        # runs, and the VM would kill the process.
         text = encode(histogram_of(range(1, 100)))
         gc.collect()
         gc.disable()
         try:
             tracemalloc.start()
             merge([text] * 100)
-            held, _ = tracemalloc.get_traced_memory()
+            allocated, _ = tracemalloc.get_traced_memory()
         finally:
             tracemalloc.stop()
             gc.enable()
-        self.assertLess(held, 1_000_000)
+        self.assertLess(allocated, 1_000_000)
 
 
 class CollectorTest(unittest.TestCase):
-    """Missing data is named and covers nothing."""
+    """Missing data is recorded with a reason and not covered."""
 
     def setUp(self) -> None:
         self.collector = Collector()
 
-    def test_the_first_answer_of_an_old_process_is_only_a_base(self) -> None:
+    def test_the_first_answer_of_an_old_process_is_only_a_baseline(self) -> None:
         levels = entry()
         levels.record("times", "north", Code.ANSWERED, 0.1)
-        first = self.collector.take(1000.0, SERVICES, [report(levels, 900.0)], {})["times"].slot
+        first = self.collector.collect(1000.0, SERVICES, [report(levels, 900.0)], {})["times"].slot
         self.assertEqual((first.good, first.covered_s), (0, 0.0))
         levels.record("times", "north", Code.ANSWERED, 0.1)
-        counted = self.collector.take(1060.0, SERVICES, [report(levels, 960.0)], {})["times"]
+        counted = self.collector.collect(1060.0, SERVICES, [report(levels, 960.0)], {})["times"]
         self.assertEqual((counted.slot.good, counted.slot.covered_s), (1, 60.0))
         self.assertEqual(counted.latency.get_total_count(), 1)
         self.assertEqual(counted.slot.start, 960)
 
-    def test_a_restart_loses_the_last_counts_and_says_so(self) -> None:
-        # An entry is replaced between two readings. Its last counts are lost; the new process
-        # starts at zero. A difference across the two would be negative, or hide bad answers.
+    def test_a_restart_loses_the_last_counts_and_reports_it(self) -> None:
+        # An entry is replaced between two reads. Its last counts are lost, and the new process
+        # starts at zero. A difference between the two would be negative or hide bad answers.
         levels = entry()
         for _ in range(50):
             levels.record("times", "north", Code.OUTCOME_UNKNOWN, 0.1)
-        self.collector.take(1000.0, SERVICES, [report(levels, 30.0)], {})
-        fresh = entry(incarnation="b")
-        fresh.record("times", "north", Code.NO_TARGET, 0.1)
-        slot = self.collector.take(1060.0, SERVICES, [report(fresh, 20.0)], {})["times"].slot
+        self.collector.collect(1000.0, SERVICES, [report(levels, 30.0)], {})
+        restarted = entry(incarnation="b")
+        restarted.record("times", "north", Code.NO_TARGET, 0.1)
+        slot = self.collector.collect(1060.0, SERVICES, [report(restarted, 20.0)], {})["times"].slot
         self.assertEqual((slot.bad, slot.expected_s, slot.covered_s), (1, 60.0, 20.0))
         self.assertIn("e1: restarted, its last counts are lost", slot.missing)
 
     def test_an_entry_that_does_not_answer_covers_nothing(self) -> None:
         levels = entry()
-        self.collector.take(1000.0, SERVICES, [report(levels, 30.0)], {})
-        slot = self.collector.take(1060.0, SERVICES, [], {"e1": "no answer"})["times"].slot
+        self.collector.collect(1000.0, SERVICES, [report(levels, 30.0)], {})
+        slot = self.collector.collect(1060.0, SERVICES, [], {"e1": "no answer"})["times"].slot
         self.assertEqual((slot.expected_s, slot.covered_s), (60.0, 0.0))
         levels.record("times", "north", Code.ANSWERED, 0.1)
-        slot = self.collector.take(1120.0, SERVICES, [report(levels, 150.0)], {})["times"].slot
+        slot = self.collector.collect(1120.0, SERVICES, [report(levels, 150.0)], {})["times"].slot
         self.assertEqual((slot.good, slot.covered_s), (1, 60.0))
 
-    def test_counts_that_fall_are_not_believed(self) -> None:
+    def test_decreasing_counts_are_discarded(self) -> None:
         levels = entry()
         levels.record("times", "north", Code.ANSWERED, 0.1)
-        self.collector.take(1000.0, SERVICES, [report(levels, 30.0)], {})
-        slot = self.collector.take(1060.0, SERVICES, [report(entry(), 90.0)], {})["times"].slot
+        self.collector.collect(1000.0, SERVICES, [report(levels, 30.0)], {})
+        slot = self.collector.collect(1060.0, SERVICES, [report(entry(), 90.0)], {})["times"].slot
         self.assertEqual((slot.covered_s, slot.good), (0.0, 0))
         levels.record("times", "north", Code.ANSWERED, 9.0)
-        self.collector.take(1120.0, SERVICES, [report(levels, 150.0)], {})
-        fallen = entry()
-        fallen.record("times", "north", Code.ANSWERED, 0.1)
-        slot = self.collector.take(1180.0, SERVICES, [report(fallen, 210.0)], {})["times"].slot
+        self.collector.collect(1120.0, SERVICES, [report(levels, 150.0)], {})
+        decreased = entry()
+        decreased.record("times", "north", Code.ANSWERED, 0.1)
+        slot = self.collector.collect(1180.0, SERVICES, [report(decreased, 210.0)], {})[
+            "times"
+        ].slot
         self.assertEqual((slot.covered_s, slot.good, slot.bad), (0.0, 0, 0))
 
-    def test_an_entry_that_is_gone_is_missed_once(self) -> None:
-        self.collector.take(1000.0, SERVICES, [report(entry(), 30.0)], {})
-        slot = self.collector.take(1060.0, SERVICES, [], {})["times"].slot
+    def test_an_entry_that_is_gone_is_reported_as_missing_once(self) -> None:
+        self.collector.collect(1000.0, SERVICES, [report(entry(), 30.0)], {})
+        slot = self.collector.collect(1060.0, SERVICES, [], {})["times"].slot
         self.assertEqual(slot.missing["e1: gone, its last counts are lost"], 1)
-        slot = self.collector.take(1120.0, SERVICES, [], {})["times"].slot
+        slot = self.collector.collect(1120.0, SERVICES, [], {})["times"].slot
         self.assertEqual(slot.expected_s, 0.0)
--- a/tools/levelcost.py
+++ b/tools/levelcost.py
@@ -15,10 +15,10 @@
 if __name__ == "__main__":
     sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from briarspur.collect import Collector, Counted
+from briarspur.collect import Collector, MinuteCounts
 from briarspur.coord.memorystore import MemoryStore
 from briarspur.levelhistory import LevelHistory, hour_name
-from briarspur.levels import Levels, LevelsDocument
+from briarspur.levels import LevelsDocument, ServiceLevelCounter
 from briarspur.windows import SLOT_S
 
 __all__ = ["main"]
@@ -31,8 +31,8 @@
 ANSWERS_AN_ENTRY = 600
 
 
-def _entry(number: int, rng: random.Random, answers: int) -> Levels:
-    levels = Levels(f"entry-{number}", "a", "zone", 0.0)
+def _entry(number: int, rng: random.Random, answers: int) -> ServiceLevelCounter:
+    levels = ServiceLevelCounter(f"entry-{number}", "a", "zone", 0.0)
     levels.set_objectives(dict.fromkeys(SERVICES, 0.5))
     for _ in range(answers):
         code = CODES[0] if rng.random() < 0.99 else rng.choice(CODES)
@@ -64,13 +64,13 @@
     entries = [_entry(n, rng, ANSWERS_AN_ENTRY) for n in range(fleet)]
     collector = Collector()
     reports = [LevelsDocument.model_validate(entry.snapshot(30.0)) for entry in entries]
-    collector.take(60.0, SERVICES, reports, {})
+    collector.collect(60.0, SERVICES, reports, {})
     for entry in entries:
         entry.record(SERVICES[0], REGIONS[0], 1000, 0.03)
     began = time.process_time()
     reports = [LevelsDocument.model_validate(entry.snapshot(90.0)) for entry in entries]
     checked = time.process_time()
-    counted = collector.take(120.0, SERVICES, reports, {})
+    counted = collector.collect(120.0, SERVICES, reports, {})
     spent = time.process_time() - checked
     print(
         f"collect: {fleet} entries: {spent:.3f} s of processor a minute "
@@ -85,19 +85,19 @@
     tracemalloc.start()
     collector = Collector()
     reports = [LevelsDocument.model_validate_json(text) for text in texts]
-    collector.take(60.0, SERVICES, reports, {})
+    collector.collect(60.0, SERVICES, reports, {})
     held, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(f"memory: {fleet} entries: {held / 1e6:.1f} MB held, {peak / 1e6:.1f} MB at the peak")
 
 
-def _keep_cost(counted: Counted) -> None:
+def _keep_cost(counted: MinuteCounts) -> None:
     """Print the size of an hour whose minutes all hold what was counted."""
     store = MemoryStore()
     history = LevelHistory(store)
     for minute in range(60):
         slot = replace(counted.slot, start=minute * SLOT_S)
-        asyncio.run(history.write(SERVICES[0], Counted(slot, counted.latency)))
+        asyncio.run(history.write(SERVICES[0], MinuteCounts(slot, counted.latency)))
     found = asyncio.run(store.get(hour_name(SERVICES[0], 0)))
     size = len(found.value) if found else 0
     rate = len(SERVICES) / SLOT_S
