--- a/briarspur/burncollect.py
+++ b/briarspur/burncollect.py
@@ -182,7 +182,7 @@
             del pending[:-MAX_PENDING]
             await self._write(service, pending)
             if now % HOUR_S < SLOT_S + SETTLE_S:
-                await self._history.forget(service, now)
+                await self._history.delete_expired(service, now)
         self._collected_at = now
 
     async def _read_policy(self) -> None:
--- a/briarspur/levelhistory.py
+++ b/briarspur/levelhistory.py
@@ -1,8 +1,8 @@
-"""The service-level history in the object store: one object a service and hour.
+"""The service-level history in the object store: one object per service and hour.
 
-``levels/<service>/<hour>`` holds the minutes of one hour with a histogram of latencies for each.
-The hour is the Unix time over 3,600, in 8 digits. It costs one read and one write a minute and
-service; what is older than three days is deleted as new hours begin.
+``levels/<service>/<hour>`` holds the minutes of one hour, each with a latency histogram. The hour
+is the Unix time divided by 3,600, with 8 digits. Updating costs one read and one write per minute
+and service; objects older than three days are deleted at the start of an hour.
 """
 
 import math
@@ -22,14 +22,14 @@
 __all__ = ["HourDocument", "LevelHistory", "hour_name"]
 
 HOUR_DIGITS = 8
-KEPT_HOURS = THREE_DAYS.seconds // HOUR_S + 1
-MAX_KEYS = 10
-MAX_MISSING = 20
-WRITE_ATTEMPTS = 3
+RETENTION_HOURS = THREE_DAYS.seconds // HOUR_S + 1
+MAX_KEYS_PER_MINUTE = 10
+MAX_MISSING_REASONS = 20
+MAX_WRITE_ATTEMPTS = 3
 
 
 class SlotDocument(Document):
-    """One minute; the fields are those of :class:`briarspur.windows.Slot`."""
+    """One minute, with the fields of :class:`briarspur.windows.Slot`."""
 
     start: int = Field(ge=0, multiple_of=SLOT_S)
     good: int = Field(ge=0)
@@ -44,7 +44,7 @@
 
 
 class HourDocument(Document):
-    """The minutes of one hour, ordered by time; ``latency`` by minute, as encoded histograms."""
+    """The minutes of one hour in time order, and by minute their encoded latency histograms."""
 
     slots: list[SlotDocument] = Field(default=[])
     latency: dict[str, str] = Field(default={})
@@ -53,45 +53,45 @@
 class LevelHistory:
     """Writes and reads the history.
 
-    Two collectors may run at once: a minute that is there already is kept, or replaced by one that
-    covers more of the entries' time. Minutes are never summed, so nothing is counted twice.
+    Two collectors may run at the same time: a stored minute is kept, or replaced by one that covers
+    more of the entries' time. Minutes are never summed, so no answer is counted twice.
     """
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
-    async def write(self, service: str, counted: MinuteCounts) -> None:
+    async def write(self, service: str, minute: MinuteCounts) -> None:
         """Add one minute.
 
         Raises
         ------
         StoreError
-            It is not known to be written; writing it again is harmless.
+            It is unknown whether the minute was written; writing it again is safe.
         """
-        name = hour_name(service, counted.slot.start // HOUR_S)
-        addition = _to_document(counted.slot)
-        latency = encode(counted.latency)
-        for _ in range(WRITE_ATTEMPTS):
-            found = await self._store.get(name)
-            hour = _parse(found) if found else HourDocument()
-            changed = _with_slot(hour, addition, latency)
-            if changed is None:
+        name = hour_name(service, minute.slot.start // HOUR_S)
+        addition = _to_document(minute.slot)
+        latency = encode(minute.latency)
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            stored = await self._store.get(name)
+            hour = _parse(stored) if stored else HourDocument()
+            updated = _with_slot(hour, addition, latency)
+            if updated is None:
                 return
-            value = changed.model_dump_json(exclude_defaults=True).encode()
+            value = updated.model_dump_json(exclude_defaults=True).encode()
             try:
-                await self._store.put(name, value, found.version if found else ABSENT)
+                await self._store.put(name, value, stored.version if stored else ABSENT)
             except StoreConflictError:
                 continue
             return
-        raise StoreUnavailableError(f"{name}: {WRITE_ATTEMPTS} conflicts")
+        raise StoreUnavailableError(f"{name}: {MAX_WRITE_ATTEMPTS} conflicts")
 
-    async def forget(self, service: str, now: float) -> None:
-        """Delete the hour that has just become too old; not deleting it does no harm."""
-        name = hour_name(service, int(now // HOUR_S) - KEPT_HOURS)
+    async def delete_expired(self, service: str, now: float) -> None:
+        """Delete the hour that has just expired; a failure to delete it is ignored."""
+        name = hour_name(service, int(now // HOUR_S) - RETENTION_HOURS)
         try:
-            found = await self._store.get(name)
-            if found is not None:
-                await self._store.delete(name, found.version)
+            stored = await self._store.get(name)
+            if stored is not None:
+                await self._store.delete(name, stored.version)
         except StoreError:
             return
 
@@ -101,35 +101,35 @@
         Raises
         ------
         DocumentError
-            A stored hour is not valid.
+            A stored hour is invalid.
         """
         series = LevelSeries()
         this_hour = int(now // HOUR_S)
-        for hour in range(this_hour - KEPT_HOURS + 1, this_hour + 1):
-            found = await self._store.get(hour_name(service, hour))
-            if found is not None:
-                _add_hour(series, _parse(found))
+        for hour in range(this_hour - RETENTION_HOURS + 1, this_hour + 1):
+            stored = await self._store.get(hour_name(service, hour))
+            if stored is not None:
+                _add_hour(series, _parse(stored))
                 series.trim(now)
         return series
 
 
 def hour_name(service: str, hour: int) -> str:
-    """Return the object's name for an hour, given as Unix time over 3,600."""
+    """Return the name of the object for an hour, given as Unix time divided by 3,600."""
     return f"levels/{service}/{hour:0{HOUR_DIGITS}d}"
 
 
-def _parse(found: StoredObject) -> HourDocument:
+def _parse(stored: StoredObject) -> HourDocument:
     try:
-        return HourDocument.model_validate_json(found.value)
+        return HourDocument.model_validate_json(stored.value)
     except ValidationError as error:
-        raise DocumentError(found.name, faults_of(error)) from None
+        raise DocumentError(stored.name, faults_of(error)) from None
 
 
 def _with_slot(hour: HourDocument, addition: SlotDocument, latency: str) -> HourDocument | None:
-    """Return the hour with the minute in its place; None if it knows as much already."""
+    """Return the hour with the minute added or replaced; None if that adds no coverage."""
     slots = {slot.start: slot for slot in hour.slots}
-    present = slots.get(addition.start)
-    if present is not None and _coverage(present) >= _coverage(addition):
+    previous = slots.get(addition.start)
+    if previous is not None and _coverage(previous) >= _coverage(addition):
         return None
     slots[addition.start] = addition
     latencies = {**hour.latency, str(addition.start): latency}
@@ -149,18 +149,18 @@
         expected_s=slot.expected_s,
         covered_s=slot.covered_s,
         answers=dict(slot.all_by_region),
-        regions=_most(slot.bad_by_region, MAX_KEYS),
+        regions=_largest_counts(slot.bad_by_region, MAX_KEYS_PER_MINUTE),
         codes={str(code): count for code, count in slot.bad_by_code.items()},
-        entries=_most(slot.bad_by_entry, MAX_KEYS),
-        missing=_most(slot.missing, MAX_MISSING),
+        entries=_largest_counts(slot.bad_by_entry, MAX_KEYS_PER_MINUTE),
+        missing=_largest_counts(slot.missing, MAX_MISSING_REASONS),
     )
 
 
-def _most(counts: Counter[str], limit: int) -> dict[str, int]:
-    """Return the largest counts, and the sum of the others under one name."""
+def _largest_counts(counts: Counter[str], limit: int) -> dict[str, int]:
+    """Return the largest counts, and the sum of the others under the key ``others``."""
     largest = dict(counts.most_common(limit))
-    rest = counts.total() - sum(largest.values())
-    return {**largest, "others": rest} if rest else largest
+    other_count = counts.total() - sum(largest.values())
+    return {**largest, "others": other_count} if other_count else largest
 
 
 def _add_hour(series: LevelSeries, hour: HourDocument) -> None:
--- a/briarspur/levelseries.py
+++ b/briarspur/levelseries.py
@@ -1,4 +1,4 @@
-"""A service's recent minutes in memory, bounded: what a burn report is made of; pure."""
+"""Bounded in-memory series of a service's recent minutes, the input of a burn report; pure."""
 
 from briarspur.latency import Histogram, encode, merge
 from briarspur.windows import HOUR_S, SLOT_S, THREE_DAYS, Slot, coalesce
@@ -7,10 +7,10 @@
 
 
 class LevelSeries:
-    """Three days of one service: counts by minute for six hours, by hour before.
+    """Three days of one service: counts by minute for the last six hours, and by hour before.
 
-    Latencies are kept encoded: by minute for an hour, by hour before. A service takes about
-    0.5 MB at the most.
+    Latencies are stored encoded: by minute for the last hour, and by hour for all. A service needs
+    at most about 0.5 MB.
     """
 
     def __init__(self) -> None:
@@ -19,33 +19,35 @@
         self._latency_by_hour: dict[int, str] = {}
 
     def add(self, slot: Slot, latency: str) -> None:
-        """Add a minute, with its latencies encoded; a minute that is there already is kept."""
-        if any(present.start == slot.start for present in self.slots[-SLOT_S:]):
+        """Add a minute with its encoded latencies; a minute that is already present is kept."""
+        if any(known_slot.start == slot.start for known_slot in self.slots[-SLOT_S:]):
             return
         self.slots.append(slot)
         if not latency:
             return
         self._latency_by_minute[slot.start] = latency
         hour = slot.start // HOUR_S
-        whole = merge([self._latency_by_hour.get(hour, ""), latency])
-        self._latency_by_hour[hour] = encode(whole)
+        merged = merge([self._latency_by_hour.get(hour, ""), latency])
+        self._latency_by_hour[hour] = encode(merged)
 
     def trim(self, now: float) -> None:
-        """Drop what is too old for any window, and sum what is old by hour."""
+        """Remove data older than every window, and sum older minutes by hour."""
         self.slots = coalesce(self.slots, now)
         first_minute = now - HOUR_S - SLOT_S
         first_hour = (now - THREE_DAYS.seconds) // HOUR_S
         self._latency_by_minute = {
-            start: text for start, text in self._latency_by_minute.items() if start >= first_minute
+            start: encoded
+            for start, encoded in self._latency_by_minute.items()
+            if start >= first_minute
         }
         self._latency_by_hour = {
-            hour: text for hour, text in self._latency_by_hour.items() if hour >= first_hour
+            hour: encoded for hour, encoded in self._latency_by_hour.items() if hour >= first_hour
         }
 
     def latency_of_last_hour(self) -> Histogram:
-        """Return the latencies of the last hour's whole answers."""
+        """Return the latencies of complete answers in the last hour."""
         return merge(self._latency_by_minute.values())
 
     def latency(self) -> Histogram:
-        """Return the latencies of all whole answers kept, by whole hours."""
+        """Return the latencies of all complete answers in the series, in steps of whole hours."""
         return merge(self._latency_by_hour.values())
