--- a/briarspur/burn.py
+++ b/briarspur/burn.py
@@ -1,7 +1,7 @@
-"""The program ``briarspur-burn``: collects service-level counts and reports how budgets burn.
+"""The program ``briarspur-burn``: collects service-level counts and reports error budget burn.
 
-As a daemon it reads every entry's counts once a minute and keeps three days in the store. With
-``--once`` it prints a report from what there is and ends.
+As a daemon it reads the counts of every entry once a minute and keeps three days in the store. With
+``--once`` it prints a report on the stored data and exits.
 """
 
 import argparse
@@ -13,7 +13,7 @@
 from typing import Any, cast
 
 from briarspur import daemon, logs
-from briarspur.burncollect import Burn, BurnReader, BurnStatus
+from briarspur.burncollect import BurnCollector, BurnStatus, LevelsReader
 from briarspur.burnreport import BurnReport, make_report, report_html, report_text
 from briarspur.clicontext import open_context, reader_gone
 from briarspur.collect import Collector
@@ -37,19 +37,21 @@
 __all__ = ["live_report", "main", "read_report"]
 
 LEASE_S = 30.0
-LEASE_STEPS = 3
-LIVE_NOTE = "sums since each entry started: every window shows the same, and none is known"
+RENEWALS_PER_LEASE = 3
+LIVE_NOTE = (
+    "totals since each entry started: all windows show the same counts, and coverage is unknown"
+)
 
 
 async def read_report(
     repository: PolicyRepository, history: LevelHistory, services: Sequence[str] | None, now: float
 ) -> BurnReport | None:
-    """Return the report on what is in the store; None without a policy.
+    """Return the report on the stored data; None without a policy.
 
     Parameters
     ----------
     services : sequence of str or None
-        Which services to report; None for all.
+        Services to report; None for all.
     """
     current = await repository.current()
     if current is None:
@@ -71,11 +73,11 @@
 
 
 async def live_report(
-    repository: PolicyRepository, reader: BurnReader, now: float
+    repository: PolicyRepository, reader: LevelsReader, now: float
 ) -> BurnReport | None:
-    """Return a report on what entries counted since they started, as one minute.
+    """Return a report on the counts since each entry started, as a single minute.
 
-    It serves where no collector has run: the sums are right, the windows are not known.
+    For use when no collector has run: the totals are correct, but not divided into windows.
     """
     current = await repository.current()
     if current is None:
@@ -83,72 +85,76 @@
     policy = compile_policy(current.document, current.version)
     levels = await reader.read()
     collector = Collector()
-    fresh = [d.model_copy(update={"uptime_s": 0.0}) for d in levels.documents]
-    counted = collector.collect(now, policy.services_by_name, fresh, levels.failures_by_entry)
+    documents = [d.model_copy(update={"uptime_s": 0.0}) for d in levels.documents]
+    counts_by_service = collector.collect(
+        now, policy.services_by_name, documents, levels.failures_by_entry
+    )
     series: dict[str, LevelSeries] = {}
-    for service, found in counted.items():
+    for service, minute in counts_by_service.items():
         series[service] = LevelSeries()
-        series[service].add(found.slot, encode(found.latency))
+        series[service].add(minute.slot, encode(minute.latency))
     return make_report(policy.user, _objectives(policy, None), series, now, LIVE_NOTE)
 
 
-def _lease(store: ObjectStore) -> Lease:
-    """Return the lease of the one process that collects."""
+def _make_lease(store: ObjectStore) -> Lease:
+    """Return the lease that is held by the process that writes to the store."""
     writer = ConditionalWriter(store, lambda: uuid.uuid4().hex)
     return Lease(store, "burn", uuid.uuid4().hex, LEASE_S, (), time.monotonic, writer)
 
 
-async def _keep(lease: Lease) -> None:
+async def _keep_lease(lease: Lease) -> None:
     while True:
         await lease.renew_or_acquire()
-        await asyncio.sleep(LEASE_S / LEASE_STEPS)
+        await asyncio.sleep(LEASE_S / RENEWALS_PER_LEASE)
 
 
-NAME = "briarspur-burn"
+PROGRAM_NAME = "briarspur-burn"
 
 
 class _Daemon:
-    """Runs :class:`Burn` on the platform that the settings name."""
+    """Runs :class:`BurnCollector` on the configured platform."""
 
     def __init__(self, path: str, settings: BurnSettings) -> None:
         self._path = path
         self._settings = settings
-        self._burn: Burn | None = None
-        self._listening: Any = None
-        self._running: asyncio.Task[None] | None = None
+        self._collector: BurnCollector | None = None
+        self._port: Any = None
+        self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Show the status page and begin to collect."""
+        """Serve the status page and start to collect."""
         from twisted.internet import reactor
 
         site = status_site(self._status)
         port, host = self._settings.status_port, self._settings.host
-        self._listening = cast(Any, reactor).listenTCP(port, site, interface=host)
-        logs.event("status-page", host=host, port=self._listening.getHost().port)
-        self._running = asyncio.get_running_loop().create_task(self._run())
+        self._port = cast(Any, reactor).listenTCP(port, site, interface=host)
+        logs.event("status-page", host=host, port=self._port.getHost().port)
+        self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
-        async with open_context(self._path, False, NAME, BurnSettings) as context:
-            reader = BurnReader(context.directory, context.fetcher)
+        async with open_context(self._path, False, PROGRAM_NAME, BurnSettings) as context:
+            reader = LevelsReader(context.directory, context.fetcher)
             history = LevelHistory(context.store)
-            lease = _lease(context.store)
-            burn = Burn(context.repository, reader, history, lambda: lease.may_be_held)
-            self._burn = burn
+            lease = _make_lease(context.store)
+            collector = BurnCollector(
+                context.repository, reader, history, lambda: lease.may_be_held
+            )
+            self._collector = collector
             try:
-                await asyncio.gather(burn.run(), _keep(lease))
+                await asyncio.gather(collector.run(), _keep_lease(lease))
             finally:
                 await lease.release()
 
     def _status(self) -> BurnStatus:
-        return self._burn.status() if self._burn is not None else BurnStatus()
+        return self._collector.status() if self._collector is not None else BurnStatus()
 
     async def stop(self) -> None:
-        """End; a minute that is not yet written stays missing."""
-        if self._listening is not None:
-            self._listening.stopListening()
-        if self._running is not None:
-            self._running.cancel()
-            await asyncio.gather(self._running, return_exceptions=True)
+        """Stop; minutes that are not yet written remain missing."""
+        if self._port is not None:
+            self._port.stopListening()
+        if self._task is not None:
+            self._task.cancel()
+            await asyncio.gather(self._task, return_exceptions=True)
 
 
 def main(argv: Sequence[str] | None = None) -> int:
@@ -163,13 +169,16 @@
     parser.add_argument("--service", action="append", help="only this service; may be repeated")
     arguments = parser.parse_args(argv)
     if not arguments.once:
-        passed_on = ["--settings", arguments.settings]
-        passed_on += ["--check"] if arguments.check else []
+        daemon_arguments = ["--settings", arguments.settings]
+        daemon_arguments += ["--check"] if arguments.check else []
         return daemon.run(
-            "briarspur-burn", BurnSettings, lambda s: _Daemon(arguments.settings, s), passed_on
+            "briarspur-burn",
+            BurnSettings,
+            lambda s: _Daemon(arguments.settings, s),
+            daemon_arguments,
         )
     try:
-        return run_once(lambda: _once(arguments))
+        return run_once(lambda: _print_report(arguments))
     except BrokenPipeError:
         return reader_gone()
     except DocumentError as error:
@@ -180,11 +189,13 @@
         return ExitCode.STORE_UNAVAILABLE
 
 
-async def _once(arguments: argparse.Namespace) -> ExitCode:
+async def _print_report(arguments: argparse.Namespace) -> ExitCode:
     load_settings(BurnSettings, arguments.settings)
-    async with open_context(arguments.settings, arguments.json, NAME, BurnSettings) as context:
+    async with open_context(
+        arguments.settings, arguments.json, PROGRAM_NAME, BurnSettings
+    ) as context:
         if arguments.live:
-            reader = BurnReader(context.directory, context.fetcher)
+            reader = LevelsReader(context.directory, context.fetcher)
             report = await live_report(context.repository, reader, time.time())
         else:
             history = LevelHistory(context.store)
@@ -193,12 +204,12 @@
         print("no policy is in force", file=sys.stderr)
         return ExitCode.REFUSED
     if arguments.html:
-        _save(arguments.html, report_html(report))
+        _write_file(arguments.html, report_html(report))
     print(to_json(report) if arguments.json else report_text(report))
     return ExitCode.OK
 
 
-def _save(path: str, text: str) -> None:
+def _write_file(path: str, text: str) -> None:
     try:
         with open(path, "w", encoding="utf-8") as file:
             file.write(text)
--- a/briarspur/burncollect.py
+++ b/briarspur/burncollect.py
@@ -1,4 +1,4 @@
-"""Collecting service-level counts from all entries, a minute at a time, into the store."""
+"""Collect the service-level counts of all entries into the store once a minute."""
 
 import asyncio
 import contextlib
@@ -22,32 +22,32 @@
 from briarspur.repository import PolicyRepository
 from briarspur.windows import HOUR_S, SLOT_S
 
-__all__ = ["Burn", "BurnReader", "BurnStatus", "EntryLevels"]
+__all__ = ["BurnCollector", "BurnStatus", "EntryLevels", "LevelsReader"]
 
-SETTLE_S = 2.0
-"""Seconds after a minute's end at which entries are read."""
+COLLECT_DELAY_S = 2.0
+"""Time between the end of a minute and reading the entries."""
 
-READY_S = 3 * SLOT_S
-"""Seconds after the last collection for which the daemon counts as ready."""
+MAX_READY_AGE_S = 3 * SLOT_S
+"""Age of the last collection up to which the daemon is ready."""
 
-ASKED_AT_ONCE = 20
-TAKEOVER_MINUTES = 2
-"""Minutes that a standby holds: what the lease needs to change hands, and one more."""
+MAX_CONCURRENT_READS = 20
+STANDBY_MINUTES = 2
+"""Minutes that a standby buffers: the time that the lease takes to change holders, and one more."""
 
-MAX_PENDING = 360
-"""Minutes a service that wait for the store; older ones are dropped and so stay missing."""
+MAX_PENDING_MINUTES = 360
+"""Minutes per service that wait for the store; older ones are dropped and remain missing."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryLevels:
-    """What the entries answered, and by entry id why others did not."""
+    """Documents of the entries that responded, and reasons by entry id for those that failed."""
 
     documents: tuple[LevelsDocument, ...]
     failures_by_entry: dict[str, str]
 
 
-class BurnReader:
-    """Reads all entries' counts."""
+class LevelsReader:
+    """Reads the counts of all entries."""
 
     def __init__(self, directory: Directory, fetcher: Fetcher) -> None:
         self._directory = directory
@@ -55,30 +55,30 @@
         self._endpoints: list[Endpoint] = []
 
     async def read(self) -> EntryLevels:
-        """Ask every entry on the list of VMs, a few at once.
+        """Fetch the counts of every entry on the list of VMs, with bounded concurrency.
 
-        While the list can't be read, the last one is used: an outage of the platform must not look
-        like silence of all entries.
+        While the list is unavailable, the last one is used, so that an outage of the platform does
+        not look as if no entry responded.
         """
         with contextlib.suppress(StoreError):
             self._endpoints = await self._directory.endpoints()
         endpoints = self._endpoints
-        gate = asyncio.Semaphore(ASKED_AT_ONCE)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_READS)
 
-        async def ask(endpoint: Endpoint) -> LevelsDocument | str:
-            async with gate:
-                return await self._ask(endpoint)
+        async def fetch(endpoint: Endpoint) -> LevelsDocument | str:
+            async with semaphore:
+                return await self._fetch(endpoint)
 
-        answers = await asyncio.gather(*(ask(endpoint) for endpoint in endpoints))
+        results = await asyncio.gather(*(fetch(endpoint) for endpoint in endpoints))
         failures = {
-            endpoint.name: answer
-            for endpoint, answer in zip(endpoints, answers, strict=True)
-            if isinstance(answer, str)
+            endpoint.name: result
+            for endpoint, result in zip(endpoints, results, strict=True)
+            if isinstance(result, str)
         }
-        documents = tuple(answer for answer in answers if isinstance(answer, LevelsDocument))
+        documents = tuple(result for result in results if isinstance(result, LevelsDocument))
         return EntryLevels(documents, failures)
 
-    async def _ask(self, endpoint: Endpoint) -> LevelsDocument | str:
+    async def _fetch(self, endpoint: Endpoint) -> LevelsDocument | str:
         try:
             return LevelsDocument.model_validate(
                 await self._fetcher.get_json(endpoint, LEVELS_PATH)
@@ -90,14 +90,14 @@
 
 
 class BurnStatus(BaseModel):
-    """What one ``briarspur-burn`` knows of itself.
+    """State of one ``briarspur-burn`` process, served on the status page.
 
     Attributes
     ----------
     ready : bool
-        It collected within the last minutes.
+        Whether it collected within the last minutes.
     writes : bool
-        It is the one that writes; the others stand by.
+        Whether it is the process that writes to the store; the others are standbys.
     """
 
     model_config = ConfigDict(frozen=True)
@@ -109,21 +109,21 @@
     policy_version: int = 0
 
 
-class Burn:
-    """Collects once a minute until it is stopped.
+class BurnCollector:
+    """Collects the counts of all entries once a minute until it is stopped.
 
     Parameters
     ----------
     may_write : callable
-        Whether this process is the one that writes; the others stand by.
+        Returns whether this process is the one that writes; the others are standbys.
     wall : callable
-        Unix time in seconds.
+        Returns the Unix time in seconds.
     """
 
     def __init__(
         self,
         repository: PolicyRepository,
-        reader: BurnReader,
+        reader: LevelsReader,
         history: LevelHistory,
         may_write: Callable[[], bool],
         wall: Callable[[], float] = time.time,
@@ -139,10 +139,10 @@
         self._collected_at = -math.inf
 
     def status(self) -> BurnStatus:
-        """Return what the status page shows."""
+        """Return the content of the status page."""
         age = self._wall() - self._collected_at
         return BurnStatus(
-            ready=age < READY_S,
+            ready=age < MAX_READY_AGE_S,
             writes=self._may_write(),
             seconds_since_collected=age if math.isfinite(age) else None,
             minutes_waiting=sum(len(minutes) for minutes in self._pending_by_service.values()),
@@ -150,51 +150,51 @@
         )
 
     async def run(self) -> None:
-        """Collect for ever; a failure is logged and the next minute is tried."""
+        """Collect once a minute forever; a failure is logged and the next minute is tried."""
         while True:
-            await asyncio.sleep(SLOT_S - self._wall() % SLOT_S + SETTLE_S)
+            await asyncio.sleep(SLOT_S - self._wall() % SLOT_S + COLLECT_DELAY_S)
             try:
                 await self.collect()
             except (StoreError, DocumentError) as error:
                 logs.event("levels-not-collected", logging.WARNING, error=str(error))
 
     async def collect(self) -> None:
-        """Read the entries, and write the minute that has ended and those that wait.
+        """Read the entries, and write the minute that has ended and those that are pending.
 
-        Who may not write reads all the same and holds the last minutes: when it takes over, its
-        first difference is over one minute, so it counts nothing that another has counted, and
-        the minutes that died with the other are written.
+        A standby also reads the entries and buffers the last minutes. After a takeover its first
+        difference then covers one minute, so it repeats no counts of the previous writer, and it
+        writes the minutes that the previous writer lost.
         """
         await self._read_policy()
         if self._policy is None:
             return
         levels = await self._reader.read()
         now = self._wall()
-        counted = self._collector.collect(
+        counts_by_service = self._collector.collect(
             now, self._policy.services_by_name, levels.documents, levels.failures_by_entry
         )
-        for service, minute in counted.items():
+        for service, minute in counts_by_service.items():
             pending = self._pending_by_service.setdefault(service, [])
             pending.append(minute)
             if not self._may_write():
-                del pending[:-TAKEOVER_MINUTES]
+                del pending[:-STANDBY_MINUTES]
                 continue
-            del pending[:-MAX_PENDING]
-            await self._write(service, pending)
-            if now % HOUR_S < SLOT_S + SETTLE_S:
+            del pending[:-MAX_PENDING_MINUTES]
+            await self._write_pending(service, pending)
+            if now % HOUR_S < SLOT_S + COLLECT_DELAY_S:
                 await self._history.delete_expired(service, now)
         self._collected_at = now
 
     async def _read_policy(self) -> None:
-        """Read the services to collect; while the store is down, those of the last policy."""
+        """Read the policy in force; while the store is down, keep the last one."""
         try:
             current = await self._repository.current()
         except StoreError:
             return
         self._policy = compile_policy(current.document, current.version) if current else None
 
-    async def _write(self, service: str, pending: list[MinuteCounts]) -> None:
-        """Write the minutes that wait, the oldest first; what cannot be written waits on."""
+    async def _write_pending(self, service: str, pending: list[MinuteCounts]) -> None:
+        """Write the pending minutes, the oldest first; after a failure the rest remain pending."""
         while pending:
             try:
                 await self._history.write(service, pending[0])
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -4,7 +4,7 @@
 import unittest
 
 from briarspur.burn import live_report, read_report
-from briarspur.burncollect import Burn, BurnReader
+from briarspur.burncollect import BurnCollector, LevelsReader
 from briarspur.burnreport import BurnReport, report_html, report_text
 from briarspur.codes import Code
 from briarspur.coord.store import ABSENT
@@ -30,11 +30,11 @@
         await self.store.put("policy", json.dumps(envelope).encode(), ABSENT)
         self.repository = PolicyRepository(self.store, skip_sleep)
         self.entries = FakeEntries(["e1", "<b>e2"])
-        self.reader = BurnReader(self.entries, self.entries)
+        self.reader = LevelsReader(self.entries, self.entries)
         self.history = LevelHistory(self.store)
         self.now = START
         self.may_write = True
-        self.burn = Burn(
+        self.burn = BurnCollector(
             self.repository, self.reader, self.history, lambda: self.may_write, lambda: self.now
         )
         self.levels = ServiceLevelCounter("e1", "a", "north-a", START - 1_000)
@@ -115,7 +115,9 @@
         # One collector loses its lease, another collects for a while and is killed, then the first
         # takes over again. A difference from its old counts would repeat the other's minutes;
         # starting anew would lose the minutes around each change.
-        other = Burn(self.repository, self.reader, self.history, lambda: True, lambda: self.now)
+        other = BurnCollector(
+            self.repository, self.reader, self.history, lambda: True, lambda: self.now
+        )
         await self.collect_minute(good=1, bad=0)
         await other.collect()
         self.may_write = False
