--- a/tests/world.py
+++ b/tests/world.py
@@ -34,7 +34,7 @@
 )
 from briarspur.policy import Policy, compile_policy, parse_policy
 from briarspur.refusal import Answer
-from tests.bench import body, make_view
+from tests.coredriver import make_incarnation, make_view
 from tests.examples import small_policy
 
 __all__ = ["World"]
@@ -104,7 +104,7 @@
         assert self.policy is not None
         self.process_count += 1
         region = REGIONS[(int(entry_id[-1]) - 1) // ENTRIES]
-        core = Core(entry_id, region, body(self.process_count), self.rng, self.now)
+        core = Core(entry_id, region, make_incarnation(self.process_count), self.rng, self.now)
         table = BlockTable.from_prefixes(self.policy.default_home, self.policy.homes_by_prefix)
         core.policy_accepted(self.policy, table.home, self.now)
         self.cores[entry_id] = core
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -19,7 +19,7 @@
 
 from briarspur.messages import Begin, Dispatch, Request  # noqa: E402
 from standins.ports import free_port  # noqa: E402
-from tests.bench import make_core  # noqa: E402
+from tests.coredriver import make_core  # noqa: E402
 
 HOST = "127.0.0.1"
 ROUNDS = 3
