--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -21,10 +21,10 @@
     def setUp(self) -> None:
         invariants.strict = True
         self.core = make_core("entry-1", random.Random(1))
-        self.bench = CoreDriver(self.core)
+        self.driver = CoreDriver(self.core)
 
     def test_request_is_dispatched_and_answered(self) -> None:
-        actions = self.bench.send_request("GET", "/times/today")
+        actions = self.driver.send_request("GET", "/times/today")
         self.assertIsInstance(actions[0], Dispatch)
         began = self.core.answer_began(actions[0].attempt_id, 200, 1.0)
         self.assertIsInstance(began[0], Begin)
@@ -33,7 +33,7 @@
         self.assertEqual(self.core.account.in_use, 0)
 
     def test_unknown_path_is_refused(self) -> None:
-        actions = self.bench.send_request("GET", "/nowhere")
+        actions = self.driver.send_request("GET", "/nowhere")
         self.assertEqual(actions[0].refusal.code, Code.UNKNOWN_SERVICE)
 
     def test_late_answer_of_a_superseded_attempt_is_dropped(self) -> None:
@@ -42,7 +42,7 @@
         The connection of the first attempt breaks, the request is retried, and then the answer of
         the first attempt arrives after all.
         """
-        first = self.bench.send_request("GET", "/times/today")[0]
+        first = self.driver.send_request("GET", "/times/today")[0]
         second = self.core.attempt_failed(first.attempt_id, Failure.LOST, 0.1)[0]
         self.assertIsInstance(second, Dispatch)
         self.assertNotEqual(second.target.target_id, first.target.target_id)
@@ -73,13 +73,13 @@
                     "service": "fares",
                     "state": "active",
                 }
-        bench = CoreDriver(make_core("entry-1", random.Random(1), document=document))
+        driver = CoreDriver(make_core("entry-1", random.Random(1), document=document))
         for path in ("/times/1", "/times/2", "/fares/1"):
-            self.assertIsInstance(bench.send_request("GET", path)[0], Dispatch)
-        return list(bench.send_request("GET", "/fares/2"))
+            self.assertIsInstance(driver.send_request("GET", path)[0], Dispatch)
+        return list(driver.send_request("GET", "/fares/2"))
 
     def test_requests_queue_while_targets_are_full_and_run_later(self) -> None:
-        actions = [self.bench.send_request("GET", f"/times/{n}") for n in range(4)]
+        actions = [self.driver.send_request("GET", f"/times/{n}") for n in range(4)]
         sent = [a for batch in actions for a in batch if isinstance(a, Dispatch)]
         self.assertEqual(len(sent), 2)
         self.core.answer_began(sent[0].attempt_id, 200, 0.1)
@@ -93,7 +93,7 @@
     def setUp(self) -> None:
         invariants.strict = True
         self.core = make_core("entry-1", random.Random(1))
-        self.bench = CoreDriver(self.core)
+        self.driver = CoreDriver(self.core)
         self.targets = self.core.placement.targets_by_service["times"]
 
     def shed_by(self, own: OwnTarget, retry_after: float, now: float) -> None:
@@ -101,7 +101,7 @@
         others = [each for each in self.targets.by_id.values() if each is not own]
         for each in others:
             each.reserved = True
-        sent = self.bench.send_request("GET", f"/times/{now}", now)[0]
+        sent = self.driver.send_request("GET", f"/times/{now}", now)[0]
         for each in others:
             each.reserved = False
         assert isinstance(sent, Dispatch)
@@ -194,15 +194,15 @@
         """
         invariants.strict = True
         core = make_core("entry-1", random.Random(1))
-        bench = CoreDriver(core)
+        driver = CoreDriver(core)
         for own in core.placement.targets_by_service["times"].by_id.values():
             own.ramp.assume_warm()
-        sent = [bench.send_request("GET", f"/times/{n}")[0] for n in range(4)]
+        sent = [driver.send_request("GET", f"/times/{n}")[0] for n in range(4)]
         crashed_id = sent[0].target.target_id
         old = [each for each in sent if each.target.target_id == crashed_id]
         core.attempt_failed(old[0].attempt_id, Failure.LOST, 0.1, crashed=True)
         suspects = {verdict.digest for verdict in core.quarantine.verdicts(0.2)}
-        bench.send_request("GET", "/times/new", 0.2)
+        driver.send_request("GET", "/times/new", 0.2)
         core.attempt_failed(old[1].attempt_id, Failure.LOST, 0.3, crashed=True)
         verdicts = core.quarantine.verdicts(0.4)
         self.assertEqual({verdict.digest for verdict in verdicts}, suspects)
@@ -221,7 +221,7 @@
         self.core = make_core("entry-2", random.Random(1), settings=CoreSettings(queue_limit=0))
         south_only = {"entry-2": make_view(1).by_id["entry-2"]}
         self.core.view_changed(MemberView(south_only), 0.0)
-        self.bench = CoreDriver(self.core)
+        self.driver = CoreDriver(self.core)
 
     def test_shifted_requests_beyond_the_cap_are_refused_immediately(self) -> None:
         codes = self._codes(self.SHARE + 5, now=1.0)
@@ -242,5 +242,5 @@
 
     def _codes(self, count: int, now: float) -> list[Code | None]:
         """Send requests from callers in the north; return the code of each refusal."""
-        batches = [self.bench.send_request("GET", f"/times/{n}", now) for n in range(count)]
+        batches = [self.driver.send_request("GET", f"/times/{n}", now) for n in range(count)]
         return [getattr(getattr(b[0], "refusal", None), "code", None) for b in batches]
