--- a/briarspur/gateway/gossip.py
+++ b/briarspur/gateway/gossip.py
@@ -1,4 +1,4 @@
-"""Which entries an entry sends load news to, and how it handles the news of others."""
+"""Exchange of load news: which entries receive this entry's news, and how others' are handled."""
 
 import math
 from collections import Counter, OrderedDict
@@ -71,7 +71,7 @@
         Returns the latest significant revision by kind.
     store_age : callable
         Returns the seconds since the store last confirmed this entry's data.
-    uses : callable
+    usage_counts : callable
         Returns the quota that customers used at this entry; sent along with the requests in flight.
     select_counts : callable
         Returns the part of the sum of all entries that the members of a group need.
@@ -88,7 +88,7 @@
         counts: Callable[[], Counter[int]],
         revisions: Callable[[], Mapping[Kind, int]],
         store_age: Callable[[], float],
-        uses: Callable[[float], Counter[int]] = lambda now: Counter(),
+        usage_counts: Callable[[float], Counter[int]] = lambda now: Counter(),
         select_counts: Callable[[Mapping[int, int]], Counter[int]] = Counter,
         notices: NoticeKeeper | None = None,
     ) -> None:
@@ -99,7 +99,7 @@
         self._counts = counts
         self._revisions = revisions
         self._store_age = store_age
-        self._uses = uses
+        self._usage_counts = usage_counts
         self._select_counts = select_counts
         self._notices = notices
         self.groups = GroupView(own_record)
@@ -109,7 +109,7 @@
         self._latest_by_sender: dict[str, tuple[int, int]] = {}
         self._sent: OrderedDict[int, Counter[int]] = OrderedDict()
         self._last_loads: Counter[int] = Counter()
-        self._last_at = float("-inf")
+        self._last_counts_at = float("-inf")
         self._last_sent_to_all_at = float("-inf")
         self._last_sum_at = float("-inf")
         self._last_backup_sum_at = float("-inf")
@@ -157,8 +157,8 @@
     def _entry_news_received(self, news: News, now: float) -> bool:
         if not self.groups.is_grouped:
             return self._loads.received(news, now)
-        # An aggregator tells its members what it knows and nothing of its load, which is in the
-        # sums; those must not take the place of its news to the other aggregator.
+        # News that an aggregator sends to its members omit its load, which is in the sums. They
+        # must not replace its news to the other aggregator, which include the load.
         latest = (news.started, news.sequence)
         if latest <= self._latest_by_sender.get(news.entry_id, (0, 0)):
             return False
@@ -200,11 +200,11 @@
     def tick(self, now: float) -> None:
         """Send the messages that are due."""
         loads = self._counts()
-        counts = loads + self._uses(now)
+        counts = loads + self._usage_counts(now)
         self._leader_role.record_start(now)
         if self.groups.is_aggregator and now - self._last_sent_to_all_at >= KEEPALIVE_PERIOD_S:
             self.advertise(now, counts)
-        elif loads != self._last_loads or now - self._last_at >= KEEPALIVE_PERIOD_S:
+        elif loads != self._last_loads or now - self._last_counts_at >= KEEPALIVE_PERIOD_S:
             self._advertise_counts(now, counts)
         self._last_loads = loads
         is_leader = self._is_leader(now)
@@ -219,8 +219,10 @@
             self._relay.clear_warmed()
 
     def advertise(self, now: float, counts: Counter[int] | None = None) -> None:
-        """Send this entry's news to its group at once."""
-        self._advertise_counts(now, self._counts() + self._uses(now) if counts is None else counts)
+        """Send this entry's news to its group immediately."""
+        self._advertise_counts(
+            now, self._counts() + self._usage_counts(now) if counts is None else counts
+        )
         if self.groups.is_aggregator or (self.groups.is_grouped and self._fleet.leaving):
             self._last_sent_to_all_at = now
             already_sent = {record.entry_id for record in self.groups.own_aggregators}
@@ -231,7 +233,7 @@
 
     def _advertise_counts(self, now: float, counts: Counter[int]) -> None:
         """Send the load to the group's aggregators, or to every entry of a small fleet."""
-        self._last_at = now
+        self._last_counts_at = now
         warmed = self._loads.pop_own_warmed()
         if self.groups.is_aggregator:
             self._relay.record_warmed(warmed)
@@ -254,20 +256,22 @@
         """Send this group's sum to the other groups, and the sum of all entries to its members."""
         zone = self.groups.name
         group_sum = self._relay.group_sum(counts)
-        inside = self._fleet.seen_entries(now, lambda record: record.zone == zone)
+        seen_in_zone = self._fleet.seen_entries(now, lambda record: record.zone == zone)
         receivers = self.groups.first_aggregators
         if now - self._last_backup_sum_at >= BACKUP_SUM_PERIOD_S:
             self._last_backup_sum_at = now
             receivers = self.groups.aggregators
-        self._send_parts(now, group_sum, zone, self._relay.pop_group_warmed, inside, receivers)
+        self._send_parts(
+            now, group_sum, zone, self._relay.pop_group_warmed, seen_in_zone, receivers
+        )
         total = self._select_counts(self._relay.total(group_sum))
-        everywhere = self._fleet.seen_entries(now, lambda record: True)
+        all_seen = self._fleet.seen_entries(now, lambda record: True)
         self._send_parts(
             now,
             total,
             ALL_OTHERS,
             self._relay.pop_all_warmed,
-            everywhere,
+            all_seen,
             self.groups.members,
         )
         self._loads.received(self._news(now, total, group=ALL_OTHERS), now, counts)
--- a/tests/gateway/test_groups.py
+++ b/tests/gateway/test_groups.py
@@ -17,14 +17,13 @@
 
 ZONES = ("z-1", "z-2", "z-3")
 
-
 MAX_DATAGRAM_BYTES = 1_200
 """Fits into one packet on any network."""
 MAX_MEMBER_DATAGRAMS_PER_S = 60.0
 
 
-class Net:
-    """Delivers messages to all entries that aren't cut off, at once unless faults are injected."""
+class Network:
+    """Delivers messages to all entries that aren't cut off; without faults, immediately."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -102,7 +101,7 @@
 
     def __init__(
         self,
-        net: Net,
+        network: Network,
         entry_id: str,
         zone: str,
         started: int = 1,
@@ -118,18 +117,18 @@
         self.own = 0
         self.busy = 0
         self.number, *self._others = self.steering.targets.by_number
-        self._turn = int(entry_id.rpartition("-")[2]) * 7
+        self._rotation = int(entry_id.rpartition("-")[2]) * 7
         self.gossip = Gossip(
-            self.record, self.fleet, self.steering.loads, net, self.counts, dict, lambda: 0.0
+            self.record, self.fleet, self.steering.loads, network, self.counts, dict, lambda: 0.0
         )
-        net.gossips[entry_id] = self.gossip
+        network.gossips[entry_id] = self.gossip
 
     def counts(self) -> Counter[int]:
         """Return the requests in flight; other targets are busy in each call."""
-        self._turn += 1
+        self._rotation += 1
         counts = Counter({self.number: self.own} if self.own else {})
         for index in range(self.busy):
-            counts[self._others[(self._turn * 11 + index * 59) % len(self._others)]] += 1
+            counts[self._others[(self._rotation * 11 + index * 59) % len(self._others)]] += 1
         return counts
 
     @property
@@ -139,37 +138,37 @@
 
 def fleet(
     size: int, zones: int = len(ZONES), strong: int = 0, targets: int = 1
-) -> tuple[Net, list[Entry]]:
+) -> tuple[Network, list[Entry]]:
     """Return a fleet; the first ``strong`` entries of each zone run on stronger VMs."""
-    net = Net()
+    network = Network()
     entries = [
-        Entry(net, f"e-{n}", f"z-{n % zones + 1}", strong=n < strong * zones, targets=targets)
+        Entry(network, f"e-{n}", f"z-{n % zones + 1}", strong=n < strong * zones, targets=targets)
         for n in range(size)
     ]
     for entry in entries:
         for other in entries:
             entry.fleet.recorded(other.record)
         entry.gossip.members_changed(0.0)
-    return net, entries
+    return network, entries
 
 
-def run(net: Net, entries: list[Entry], seconds: float) -> None:
+def run(network: Network, entries: list[Entry], seconds: float) -> None:
     for _ in range(max(1, round(seconds / 0.1))):
-        net.now += 0.1
+        network.now += 0.1
         for entry in entries:
-            if entry.record.entry_id not in net.cut:
-                entry.gossip.tick(net.now)
-        net.deliver_delayed()
+            if entry.record.entry_id not in network.cut:
+                entry.gossip.tick(network.now)
+        network.deliver_delayed()
         for entry in entries:
-            entry.gossip.members_changed(net.now)
-            entry.steering.loads.expire(net.now)
+            entry.gossip.members_changed(network.now)
+            entry.steering.loads.expire(network.now)
 
 
 class GroupTest(unittest.TestCase):
     """Every entry has the load of all others, counted once."""
 
     def aggregators(self, entries: list[Entry], zone: str) -> list[Entry]:
-        """Return a zone's aggregators, the first one first."""
+        """Return a zone's aggregators, its first aggregator at the front."""
         found = [e for e in entries if e.record.zone == zone and e.gossip.groups.is_aggregator]
         return sorted(found, key=lambda entry: not entry.gossip.groups.is_first)
 
@@ -181,29 +180,29 @@
     def test_every_entry_has_the_load_of_all_others_in_small_and_large_fleets(self) -> None:
         for size in (3, MAX_GROUP_SIZE, MAX_GROUP_SIZE + 1, 60):
             with self.subTest(size):
-                net, entries = fleet(size)
+                network, entries = fleet(size)
                 for number, entry in enumerate(entries):
                     entry.own = number % 5 + 1
-                run(net, entries, 3.0)
+                run(network, entries, 3.0)
                 self.check_sums(entries)
                 is_one_group = {entry.gossip.groups.name for entry in entries} == {ONE_GROUP}
                 self.assertEqual(size <= MAX_GROUP_SIZE, is_one_group)
-                live = {len(entry.fleet.entry_ids(net.now)) for entry in entries}
+                live = {len(entry.fleet.entry_ids(network.now)) for entry in entries}
                 self.assertEqual({size}, live)
 
     def test_killed_aggregators_are_replaced_and_nothing_counts_twice(self) -> None:
-        """Guards against servers that look too busy or idle, or entries taken for dead."""
+        """Guards against servers that look too busy or idle, or live entries considered dead."""
         for killed in ((0,), (1,), (0, 1)):
             with self.subTest(killed):
-                net, entries = fleet(60)
+                network, entries = fleet(60)
                 for entry in entries:
                     entry.own = 2
-                run(net, entries, 3.0)
+                run(network, entries, 3.0)
                 aggregators = self.aggregators(entries, ZONES[0])
-                net.cut.update(aggregators[index].record.entry_id for index in killed)
-                remaining = [entry for entry in entries if entry.record.entry_id not in net.cut]
+                network.cut.update(aggregators[index].record.entry_id for index in killed)
+                remaining = [entry for entry in entries if entry.record.entry_id not in network.cut]
                 for _ in range(40):
-                    run(net, entries, 0.1)
+                    run(network, entries, 0.1)
                     for entry in remaining:
                         self.assertLessEqual(entry.elsewhere, 2 * 59)
                         if len(killed) == 1:
@@ -212,50 +211,52 @@
                 self.check_sums(remaining)
                 successors = self.aggregators(remaining, ZONES[0])
                 self.assertEqual(2, len(successors))
-                self.assertEqual([True, False], [net.is_leader(heir) for heir in successors])
+                self.assertEqual(
+                    [True, False], [network.is_leader(successor) for successor in successors]
+                )
 
     def test_a_restarted_entry_sends_no_sums_before_it_has_received_news_of_its_group(self) -> None:
         """Guards against sums with only the requests of one entry that replace complete ones."""
-        net, entries = fleet(60)
+        network, entries = fleet(60)
         for entry in entries:
             entry.own = 1
-        run(net, entries, 3.0)
+        run(network, entries, 3.0)
         first = self.aggregators(entries, ZONES[0])[0]
-        again = Entry(net, first.record.entry_id, first.record.zone, started=2)
-        again.own = 1
-        entries[entries.index(first)] = again
+        restarted = Entry(network, first.record.entry_id, first.record.zone, started=2)
+        restarted.own = 1
+        entries[entries.index(first)] = restarted
         for entry in entries:
-            entry.fleet.recorded(again.record)
-            again.fleet.recorded(entry.record)
-        again.gossip.members_changed(net.now)
+            entry.fleet.recorded(restarted.record)
+            restarted.fleet.recorded(entry.record)
+        restarted.gossip.members_changed(network.now)
         for _ in range(30):
-            run(net, entries, 0.1)
+            run(network, entries, 0.1)
             for entry in entries:
-                if entry is not again:
+                if entry is not restarted:
                     self.assertGreaterEqual(entry.elsewhere, 58, entry.record.entry_id)
         self.check_sums(entries)
 
-    def test_a_leaving_aggregator_hands_over_at_once(self) -> None:
+    def test_a_leaving_aggregator_hands_over_immediately(self) -> None:
         """Guards against a second leader that no longer receives the news of its members."""
-        net, entries = fleet(60)
+        network, entries = fleet(60)
         for entry in entries:
             entry.own = 1
-        run(net, entries, 3.0)
+        run(network, entries, 3.0)
         first, second = self.aggregators(entries, ZONES[0])
         first.fleet.leaving = True
-        first.gossip.advertise(net.now)
+        first.gossip.advertise(network.now)
         for _ in range(40):
-            run(net, entries, 0.1)
+            run(network, entries, 0.1)
             for entry in entries:
                 self.assertGreaterEqual(entry.elsewhere, 58, entry.record.entry_id)
-        net.leaders.clear()
-        run(net, entries, 1.0)
-        self.assertEqual({second.record.entry_id}, net.leaders[ZONES[0]])
+        network.leaders.clear()
+        run(network, entries, 1.0)
+        self.assertEqual({second.record.entry_id}, network.leaders[ZONES[0]])
 
     def test_the_entries_on_the_strongest_vms_are_aggregators(self) -> None:
         """Guards against a small VM whose link is filled by the news that it passes on."""
-        net, entries = fleet(60, strong=2)
-        run(net, entries, 3.0)
+        network, entries = fleet(60, strong=2)
+        run(network, entries, 3.0)
         for zone in ZONES:
             self.assertEqual(
                 [4.0, 4.0], [e.record.processor for e in self.aggregators(entries, zone)]
@@ -268,42 +269,42 @@
         @given(st.integers(0, 2**32), st.floats(0.0, 0.6))
         def simulate(seed: int, fault_share: float) -> None:
             rng = random.Random(seed)
-            net, entries = fleet(30)
+            network, entries = fleet(30)
             for _ in range(15):
-                net.faults = (rng, fault_share)
+                network.faults = (rng, fault_share)
                 for entry in entries:
                     entry.own = rng.randrange(4)
                 victim = rng.choice(entries).record.entry_id
-                net.cut = {victim} if rng.random() < 0.5 else set()
-                run(net, entries, rng.uniform(0.1, 0.8))
-            net.faults, net.cut = None, set()
-            run(net, entries, 3.0)
+                network.cut = {victim} if rng.random() < 0.5 else set()
+                run(network, entries, rng.uniform(0.1, 0.8))
+            network.faults, network.cut = None, set()
+            run(network, entries, 3.0)
             self.check_sums(entries)
 
         simulate()
 
     def test_news_use_a_bounded_share_of_each_roles_link(self) -> None:
         """Guards against news that fill the link of a small VM, or are sent in fragments."""
-        net, entries = fleet(195, zones=9, strong=3, targets=539)
+        network, entries = fleet(195, zones=9, strong=3, targets=539)
         for entry in entries:
             entry.busy = 9
-        run(net, entries, 3.0)
-        net.is_measuring = True
-        run(net, entries, 3.0)
-        self.assertLessEqual(net.max_bytes, MAX_DATAGRAM_BYTES)
+        run(network, entries, 3.0)
+        network.is_measuring = True
+        run(network, entries, 3.0)
+        self.assertLessEqual(network.max_bytes, MAX_DATAGRAM_BYTES)
         for entry in entries:
             link = 100e6 if entry.record.processor > 1.0 else 10e6
-            bytes_per_s = net.bytes_by_entry[entry.record.entry_id] / 3.0
+            bytes_per_s = network.bytes_by_entry[entry.record.entry_id] / 3.0
             self.assertLessEqual(bytes_per_s * 8.0, link / 10.0, entry.record)
             if not entry.gossip.groups.is_aggregator:
-                per_s = net.datagrams_by_entry[entry.record.entry_id] / 3.0
+                per_s = network.datagrams_by_entry[entry.record.entry_id] / 3.0
                 self.assertLessEqual(per_s, MAX_MEMBER_DATAGRAMS_PER_S)
 
     def test_a_large_fleet_sends_far_less_than_each_entry_to_every_other(self) -> None:
-        net, entries = fleet(90)
+        network, entries = fleet(90)
         for entry in entries:
             entry.own = 1
-        run(net, entries, 3.0)
-        net.sent = 0
-        run(net, entries, 3.0)
-        self.assertLess(net.sent, 30 * 90 * 89 / 2)
+        run(network, entries, 3.0)
+        network.sent = 0
+        run(network, entries, 3.0)
+        self.assertLess(network.sent, 30 * 90 * 89 / 2)
