--- a/briarspur/burncollect.py
+++ b/briarspur/burncollect.py
@@ -35,7 +35,7 @@
 """Minutes that a standby buffers: the time that the lease takes to change holders, and one more."""
 
 MAX_PENDING_MINUTES = 360
-"""Minutes per service that wait for the store; older ones are dropped and remain missing."""
+"""Maximum unwritten minutes per service; older ones are dropped and remain missing."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
     Attributes
     ----------
     ready : bool
-        Whether it collected within the last minutes.
+        Whether the last collection is recent enough.
     writes : bool
         Whether it is the process that writes to the store; the others are standbys.
     """
@@ -194,7 +194,7 @@
         self._policy = compile_policy(current.document, current.version) if current else None
 
     async def _write_pending(self, service: str, pending: list[MinuteCounts]) -> None:
-        """Write the pending minutes, the oldest first; after a failure the rest remain pending."""
+        """Write the pending minutes, the oldest first; after a failure the others remain."""
         while pending:
             try:
                 await self._history.write(service, pending[0])
--- a/briarspur/collect.py
+++ b/briarspur/collect.py
@@ -1,6 +1,6 @@
-"""Convert the cumulative counts of entries into counts per minute; pure.
+"""Convert the cumulative counts of entries into counts per minute, without I/O.
 
-Differences are computed only between two documents of one incarnation. Data that cannot be known
+Differences are computed only between two documents of one incarnation. Data that can't be obtained
 (an entry that did not answer, the last counts before a restart, the time before the first answer)
 is recorded as missing, with the reason.
 """
--- a/briarspur/coord/members.py
+++ b/briarspur/coord/members.py
@@ -126,11 +126,11 @@
     suspicion_timeout : float
         Time that a suspect has to refute the suspicion.
     indirect_probes : int
-        Number of members that are asked to probe a member that did not reply.
+        Number of other members that are asked to probe a member that did not reply.
     max_updates : int
         Maximum number of updates in one message.
     resend_factor : float
-        Multiplied by the logarithm of the number of members, how often an update is sent.
+        An update is sent this many times the binary logarithm of the number of members.
     unlisted_timeout : float
         How long a member that isn't on the VM list is kept while its heartbeats still arrive.
     gone_retention : float
--- a/briarspur/entry.py
+++ b/briarspur/entry.py
@@ -78,7 +78,7 @@
         self._peers = PeerClient()
         self._peering: Peering | None = None
         self._peer_server: PeerServer | None = None
-        # Probe order and delays must differ between entries, or all entries would act at once.
+        # Probe order and delays must differ between entries, or all would act simultaneously.
         self._rng = random.Random(
             settings.seed if settings.seed is not None else secrets.randbits(64)
         )
@@ -190,7 +190,7 @@
                 await self.store.put(page.name, page.value, ABSENT)
                 return True
             except StoreConflictError:
-                # Only this process writes pages of its incarnation: an earlier attempt took effect.
+                # Only this process writes these pages, so an earlier attempt succeeded.
                 return True
             except StoreError:
                 await asyncio.sleep(OUTCOME_RETRY_DELAY_S)
@@ -242,9 +242,11 @@
             forward_port=self._forward_port,
             peer_port=settings.peer_port,
         )
-        number, now = int(self._clock.wall()), self._clock.monotonic()
+        incarnation_number, now = int(self._clock.wall()), self._clock.monotonic()
         return Peering(
-            membership=Membership(own_member, self._rng, incarnation_number=number, now=now),
+            membership=Membership(
+                own_member, self._rng, incarnation_number=incarnation_number, now=now
+            ),
             core=core,
             follow=self._follow,
             client=self._peers,
@@ -280,7 +282,7 @@
     def _view_changed(self, view: MemberView) -> None:
         self.node.view_changed(view)
         self._follow.set_members(
-            {i: member.zone for i, member in view.by_id.items() if not member.leaving}
+            {entry_id: member.zone for entry_id, member in view.by_id.items() if not member.leaving}
         )
 
     async def _bootstrap_policy(self) -> None:
--- a/briarspur/latency.py
+++ b/briarspur/latency.py
@@ -68,8 +68,8 @@
     """Add the values of ``part`` to ``total`` and free ``part``.
 
     A histogram and its encoder refer to each other, so their 30 KB would be freed only by the
-    cyclic garbage collector. That one is triggered by the number of objects, not by their size, and
-    the process would grow to hundreds of megabytes.
+    cyclic garbage collector. That collector is triggered by the number of objects, not by their
+    size, so the process would grow to hundreds of megabytes.
     """
     if part.get_total_count():
         total.add(part)
--- a/briarspur/levelseries.py
+++ b/briarspur/levelseries.py
@@ -1,4 +1,4 @@
-"""Bounded in-memory series of a service's recent minutes, the input of a burn report; pure."""
+"""Bounded in-memory series of a service's recent minutes, the input of a burn report; no I/O."""
 
 from briarspur.latency import Histogram, encode, merge
 from briarspur.windows import HOUR_S, SLOT_S, THREE_DAYS, Slot, coalesce
--- a/briarspur/link.py
+++ b/briarspur/link.py
@@ -5,14 +5,14 @@
 __all__ = ["LinkPacer"]
 
 BURST_S = 0.25
-"""Largest burst after an idle time, in seconds of the rate."""
+"""Maximum burst after idle time, in seconds of transmission at the rate."""
 
 
 class LinkPacer:
     """Paces the traffic of one entry on one link.
 
     Uses two token buckets whose balance may become negative. Downloads and bulk traffic are
-    charged to both and are held to their part of the rate; small responses are charged only to
+    charged to both and are limited to their part of the rate; small responses are charged only to
     the bucket of the full rate, so downloads never use up the reserved part. Each entry stays
     within its own share of the link, without measuring the link's load: lost or late measurements
     can't push the link over its limit.
--- a/briarspur/measurements.py
+++ b/briarspur/measurements.py
@@ -123,7 +123,8 @@
     def is_awaiting_report(self, region: str, now: float) -> bool:
         """Return whether a report of the region has been missing for at most the hold time.
 
-        One silent entry is enough: without it, the region's capacity and demand seem smaller.
+        A single silent entry suffices, because without it the region's capacity and demand seem
+        smaller.
         """
         reports = [r for r in self._report_by_entry.values() if r.document.region == region]
         if not reports:
--- a/briarspur/node.py
+++ b/briarspur/node.py
@@ -214,7 +214,7 @@
     # Events of the request driver; see CarryObserver
 
     def arrived(self, request: Request) -> None:
-        """Count a caller's request; the forwarding entry has counted a forwarded one."""
+        """Count a caller's request; a forwarded one was counted by the entry that forwarded it."""
         if request.forwarded_by is not None or self._meter is None or self._blocks is None:
             return
         service = self._service_of(request.path)
--- a/briarspur/peering.py
+++ b/briarspur/peering.py
@@ -1,4 +1,4 @@
-"""Drives membership and the exchange between entries: probes, objects and loans of limits."""
+"""Drives membership and the exchange between entries: probes, objects and borrowed limits."""
 
 import asyncio
 import logging
@@ -31,7 +31,8 @@
 __all__ = ["Peering", "PeeringTimes", "VmReader"]
 
 MEMBERS_NAME = "members"
-"""Name under which a new entry fetches a snapshot of the members; never in the store."""
+"""Name under which a new entry fetches a snapshot of the members from another entry. The store has
+no object of this name."""
 MAX_SNAPSHOT_PEERS = 3
 MAX_CALLS = 64
 """Maximum concurrent calls to other entries. Calls above it are skipped; the next period starts new
@@ -220,7 +221,7 @@
             self._is_loading_snapshot = False
 
     def leave(self) -> None:
-        """Announce to all entries of the region at once that this entry is leaving.
+        """Announce to all entries of the region, concurrently, that this entry is leaving.
 
         The others take over its targets when they receive the announcement. If this entry released
         its targets earlier, they would have no owner for up to several probe periods and callers
--- a/briarspur/windows.py
+++ b/briarspur/windows.py
@@ -1,7 +1,7 @@
-"""Compute the burn of a service's error budget over windows, from counts by time slot; pure.
+"""Compute the burn of a service's error budget over windows, from counts by time slot.
 
-A slot holds the counts of one minute. Missing data is recorded as missing and shown as coverage; a
-window that lacks data is never reported as good.
+The module does no I/O. A slot holds the counts of one minute. Missing data is recorded as missing
+and shown as coverage; a window that lacks data is never reported as good.
 """
 
 from collections import Counter
@@ -38,7 +38,7 @@
 
 
 class Severity(Enum):
-    """What an operator should do."""
+    """Action that a report requires of an operator."""
 
     OK = "ok"
     UNKNOWN = "unknown"
@@ -67,7 +67,7 @@
 class AlertRule:
     """Fires while the burn rate is at or above ``rate`` over both windows.
 
-    The long window shows that the burn is significant; the short one, that it is still going on.
+    The long window shows that the burn is significant; the short one shows that it continues.
     """
 
     severity: Severity
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class Slot:
-    """Counts of one service in the minutes from ``start`` on.
+    """Counts of one service in one or more minutes that begin at ``start``.
 
     Attributes
     ----------
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -184,7 +184,7 @@
         self.run_on_loop(work())
 
     def test_stop_waits_for_open_responses(self) -> None:
-        """Guards against responses that are cut when an entry is stopped.
+        """Guards against responses that are truncated when an entry is stopped.
 
         A download continues after the port was closed. The process may end only when the caller has
         received every byte.
@@ -306,7 +306,7 @@
     def test_leaving_entry_still_serves_and_its_outcomes_are_found(self) -> None:
         """An entry is replaced while callers still have it in their look-ups.
 
-        It gives up its targets and still answers requests through the new owners. After its exit, a
+        It releases its targets and still answers requests through the new owners. After its exit, a
         booking that it ran is repeated at another entry, which answers from the outcomes that the
         first one wrote to the store.
         """
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -58,7 +58,7 @@
 
 
 class MemoryTest(unittest.TestCase):
-    """Merged histograms are freed at once."""
+    """Merged histograms are freed immediately."""
 
     def test_merged_histograms_are_freed_without_the_cyclic_garbage_collector(self) -> None:
         # A collector reads thousands of histograms of 30 KB a minute. If reference cycles kept them
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -27,7 +27,7 @@
     def test_downloads_leave_the_reserved_part_free(self) -> None:
         """Guards against small responses that wait behind downloads.
 
-        Downloads use all of a region's link that they may; a small response must not be delayed.
+        Downloads use their entire part of a region's link; a small response must not be delayed.
         """
         pacer = LinkPacer(RATE, 0.2, 0.0)
         sent = bytes_sent(pacer, Priority.DOWNLOAD, 10.0)
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -124,7 +124,7 @@
         self.assertEqual(self.writer.plans, [])
 
     async def test_a_step_that_was_not_written_is_planned_again(self) -> None:
-        """Guards against a plan that jumps by several steps at once after a store outage.
+        """Guards against a plan that jumps by several steps in one round after a store outage.
 
         The planner counted steps as done although their writes had failed.
         """
@@ -145,8 +145,8 @@
         await self.run_for(10)
         first = self.writer.plans[-1]
         self.assertEqual((first.term, first.number), (2, 1))
-        more = first.splits["times"]["north"].shares["south"]
-        self.assertGreater(more, last.splits["times"]["north"].shares["south"])
+        new_share = first.splits["times"]["north"].shares["south"]
+        self.assertGreater(new_share, last.splits["times"]["north"].shares["south"])
 
     async def test_an_invalid_stored_plan_is_ignored(self) -> None:
         self.writer.base = StoredObject("plan", 4, b"not an envelope")
@@ -154,7 +154,7 @@
         self.assertEqual(self.writer.plans[0].number, 1)
 
 
-class ReportersTest(unittest.IsolatedAsyncioTestCase):
+class LoadCollectorTest(unittest.IsolatedAsyncioTestCase):
     """Only entries with a valid response contribute a report."""
 
     async def test_silent_and_faulty_entries_contribute_no_report(self) -> None:
