--- a/briarspur/gateway/gossip.py
+++ b/briarspur/gateway/gossip.py
@@ -21,24 +21,24 @@
 """Time between two news messages to the same entry. Requests take 0.1 s and more, so the load that
 others see is at most half a request's duration old."""
 MAX_NEWS_PER_S = 200.0
-"""News messages that an entry sends, or that an aggregator receives from its group, per second;
-larger groups send less often. Encoding or decoding one takes about 0.1 ms, so both stay below 5 %
-of a core."""
+"""Maximum news messages per second that an entry sends, or that an aggregator receives from its
+group; larger groups send less often. Encoding or decoding one takes about 0.1 ms, so both stay
+below 5 % of a core."""
 SUM_PERIOD_S = 0.1
-"""Time between two sums of an aggregator; longer in fleets where that would be too many messages.
-The load of an entry reaches the entries of another group in three hops, in about 0.3 s."""
+"""Time between two sums of an aggregator; longer in fleets where this would exceed
+``MAX_NEWS_PER_S``. The load of an entry reaches the entries of another group in three hops, in
+about 0.3 s."""
 BACKUP_SUM_PERIOD_S = 0.9
 """Time between two sums that also go to the second aggregators of other groups. Traffic between
-regions is paid for, and the second aggregator's data only must not be stale when it takes over."""
+regions costs money, and the second aggregator's data need only be recent enough for a takeover."""
 KEEPALIVE_PERIOD_S = 0.3
 """Time after which an unchanged message is sent again to show that this entry is alive."""
 MAX_COUNTS_PER_PART = 90
 MAX_SEEN_PER_PART = 45
-"""Targets and entries in one part of a sum: 450 and 225 bytes. With the other fields a datagram
-fits into one packet; a fragmented datagram is lost if any of its fragments is."""
+"""Maximum targets and entries in one part of a sum: 450 and 225 bytes. With the other fields a
+datagram fits into one packet; a fragmented datagram is lost if any of its fragments is."""
 MAX_SENT_KEPT = 40
-"""News messages of this entry that are kept until a sum includes them: about four seconds."""
-
+"""Maximum news messages of this entry kept until a sum includes them: about four seconds."""
 
 NO_ENTRIES = SeenEntries()
 
--- a/briarspur/link.py
+++ b/briarspur/link.py
@@ -30,7 +30,7 @@
         self._large = _Bucket(rate * (1 - small_share), now)
 
     def charge(self, priority: Priority, size: int, now: float) -> float:
-        """Charge ``size`` bytes that were just sent; return the seconds to pause the sender."""
+        """Charge ``size`` bytes that were just sent; return the sender's pause in seconds."""
         pause = self._full.charge(size, now)
         if priority >= Priority.DOWNLOAD:
             return max(pause, self._large.charge(size, now))
--- a/briarspur/measurements.py
+++ b/briarspur/measurements.py
@@ -54,14 +54,14 @@
         local = self.by_flow[service, region]
         if local.served > 0.0 and local.in_flight > 0:
             return local.in_flight / local.served
-        all_regions = [m for (s, _), m in self.by_flow.items() if s == service]
-        served = sum(m.served for m in all_regions)
-        return sum(m.in_flight for m in all_regions) / served if served > 0.0 else 0.0
+        all_regions = [load for (s, _), load in self.by_flow.items() if s == service]
+        served = sum(load.served for load in all_regions)
+        return sum(load.in_flight for load in all_regions) / served if served > 0.0 else 0.0
 
     def in_flight_of_others(self, service: str, region: str) -> float:
         """Return the number of requests of other services in flight in a region."""
         return sum(
-            m.in_flight for (s, r), m in self.by_flow.items() if r == region and s != service
+            load.in_flight for (s, r), load in self.by_flow.items() if r == region and s != service
         )
 
 
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -34,7 +34,7 @@
         self.history = LevelHistory(self.store)
         self.now = START
         self.may_write = True
-        self.burn = BurnCollector(
+        self.collector = BurnCollector(
             self.repository, self.reader, self.history, lambda: self.may_write, lambda: self.now
         )
         self.levels = ServiceLevelCounter("e1", "a", "north-a", START - 1_000)
@@ -47,7 +47,7 @@
             self.levels.record("times", "south", Code.REGION_FULL, 0.02)
         self.now += SLOT_S
         self.entries.answers["e1"] = self.levels.snapshot(self.now)
-        await self.burn.collect()
+        await self.collector.collect()
 
     async def report(self) -> BurnReport:
         report = await read_report(self.repository, self.history, None, self.now)
@@ -55,11 +55,11 @@
         return report
 
     async def test_the_status_is_ready_only_after_a_recent_collection(self) -> None:
-        self.assertFalse(self.burn.status().ready)
+        self.assertFalse(self.collector.status().ready)
         await self.collect_minute(good=1, bad=0)
-        self.assertTrue(self.burn.status().ready)
+        self.assertTrue(self.collector.status().ready)
         self.now += 10 * SLOT_S
-        self.assertFalse(self.burn.status().ready)
+        self.assertFalse(self.collector.status().ready)
 
     async def test_the_report_names_the_worst_service_and_missing_data(self) -> None:
         for _ in range(7):
@@ -83,8 +83,8 @@
         page = report_html(await self.report())
         self.assertIn("<svg", page)
         self.assertIn("&lt;b&gt;e2", page)
-        for outside in ("<b>e2", "http:", "https:", "<script", "url("):
-            self.assertNotIn(outside, page)
+        for forbidden in ("<b>e2", "http:", "https:", "<script", "url("):
+            self.assertNotIn(forbidden, page)
 
     async def test_minutes_are_kept_until_the_store_accepts_them(self) -> None:
         # The store is down for some minutes while requests are refused. If the collector dropped
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -212,15 +212,15 @@
                 await asyncio.sleep(0.2)
                 self.assertFalse(stop.done())
                 resume.set()
-                read = await download
-                self.assertEqual((read.body, read.truncated), (b"halfhalf", False))
+                answer = await download
+                self.assertEqual((answer.body, answer.truncated), (b"halfhalf", False))
                 await stop
 
         self.run_on_loop(work())
 
 
 class TwoEntriesTest(LoopTestCase):
-    """Two entries of one region, with probes and forwards between them."""
+    """Two entries of one region, with probes and forwarded requests between them."""
 
     def test_key_runs_once_at_whichever_entry_it_arrives(self) -> None:
         """Guards against a booking that runs twice because it is repeated through another entry.
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -13,14 +13,16 @@
 SERVICES = ["times"]
 
 
-def entry(name: str = "e1", incarnation: str = "a", started: float = 0.0) -> ServiceLevelCounter:
-    levels = ServiceLevelCounter(name, incarnation, "north-a", started)
-    levels.set_objectives({"times": 0.5})
-    return levels
+def make_counter(
+    name: str = "e1", incarnation: str = "a", started: float = 0.0
+) -> ServiceLevelCounter:
+    counter = ServiceLevelCounter(name, incarnation, "north-a", started)
+    counter.set_objectives({"times": 0.5})
+    return counter
 
 
-def report(levels: ServiceLevelCounter, now: float) -> LevelsDocument:
-    return LevelsDocument.model_validate(levels.snapshot(now))
+def report(counter: ServiceLevelCounter, now: float) -> LevelsDocument:
+    return LevelsDocument.model_validate(counter.snapshot(now))
 
 
 def histogram_of(values: Iterable[int]) -> Histogram:
@@ -34,13 +36,13 @@
     """Classification of answers as good, bad or not counted."""
 
     def test_late_and_refused_answers_are_bad_and_caller_errors_are_not_counted(self) -> None:
-        levels = entry()
-        levels.record("times", "north", Code.ANSWERED, 0.5)
-        levels.record("times", "north", Code.ANSWERED, 0.6)
-        levels.record("times", "south", Code.REGION_FULL, 0.0)
-        levels.record("times", "north", Code.BODY_TOO_LARGE, 0.0)
-        levels.record("nowhere", "north", Code.ANSWERED, 0.0)
-        service = report(levels, 1.0).services["times"]
+        counter = make_counter()
+        counter.record("times", "north", Code.ANSWERED, 0.5)
+        counter.record("times", "north", Code.ANSWERED, 0.6)
+        counter.record("times", "south", Code.REGION_FULL, 0.0)
+        counter.record("times", "north", Code.BODY_TOO_LARGE, 0.0)
+        counter.record("nowhere", "north", Code.ANSWERED, 0.0)
+        service = report(counter, 1.0).services["times"]
         self.assertEqual(service.counts, {"north": {1000: (1, 1)}, "south": {2101: (0, 1)}})
         self.assertEqual(decode(service.latency).get_total_count(), 2)
 
@@ -84,12 +86,12 @@
         self.collector = Collector()
 
     def test_the_first_answer_of_an_old_process_is_only_a_baseline(self) -> None:
-        levels = entry()
-        levels.record("times", "north", Code.ANSWERED, 0.1)
-        first = self.collector.collect(1000.0, SERVICES, [report(levels, 900.0)], {})["times"].slot
+        counter = make_counter()
+        counter.record("times", "north", Code.ANSWERED, 0.1)
+        first = self.collector.collect(1000.0, SERVICES, [report(counter, 900.0)], {})["times"].slot
         self.assertEqual((first.good, first.covered_s), (0, 0.0))
-        levels.record("times", "north", Code.ANSWERED, 0.1)
-        counted = self.collector.collect(1060.0, SERVICES, [report(levels, 960.0)], {})["times"]
+        counter.record("times", "north", Code.ANSWERED, 0.1)
+        counted = self.collector.collect(1060.0, SERVICES, [report(counter, 960.0)], {})["times"]
         self.assertEqual((counted.slot.good, counted.slot.covered_s), (1, 60.0))
         self.assertEqual(counted.latency.get_total_count(), 1)
         self.assertEqual(counted.slot.start, 960)
@@ -97,34 +99,36 @@
     def test_a_restart_loses_the_last_counts_and_reports_it(self) -> None:
         # An entry is replaced between two reads. Its last counts are lost, and the new process
         # starts at zero. A difference between the two would be negative or hide bad answers.
-        levels = entry()
+        counter = make_counter()
         for _ in range(50):
-            levels.record("times", "north", Code.OUTCOME_UNKNOWN, 0.1)
-        self.collector.collect(1000.0, SERVICES, [report(levels, 30.0)], {})
-        restarted = entry(incarnation="b")
+            counter.record("times", "north", Code.OUTCOME_UNKNOWN, 0.1)
+        self.collector.collect(1000.0, SERVICES, [report(counter, 30.0)], {})
+        restarted = make_counter(incarnation="b")
         restarted.record("times", "north", Code.NO_TARGET, 0.1)
         slot = self.collector.collect(1060.0, SERVICES, [report(restarted, 20.0)], {})["times"].slot
         self.assertEqual((slot.bad, slot.expected_s, slot.covered_s), (1, 60.0, 20.0))
         self.assertIn("e1: restarted, its last counts are lost", slot.missing)
 
     def test_an_entry_that_does_not_answer_covers_nothing(self) -> None:
-        levels = entry()
-        self.collector.collect(1000.0, SERVICES, [report(levels, 30.0)], {})
+        counter = make_counter()
+        self.collector.collect(1000.0, SERVICES, [report(counter, 30.0)], {})
         slot = self.collector.collect(1060.0, SERVICES, [], {"e1": "no answer"})["times"].slot
         self.assertEqual((slot.expected_s, slot.covered_s), (60.0, 0.0))
-        levels.record("times", "north", Code.ANSWERED, 0.1)
-        slot = self.collector.collect(1120.0, SERVICES, [report(levels, 150.0)], {})["times"].slot
+        counter.record("times", "north", Code.ANSWERED, 0.1)
+        slot = self.collector.collect(1120.0, SERVICES, [report(counter, 150.0)], {})["times"].slot
         self.assertEqual((slot.good, slot.covered_s), (1, 60.0))
 
     def test_decreasing_counts_are_discarded(self) -> None:
-        levels = entry()
-        levels.record("times", "north", Code.ANSWERED, 0.1)
-        self.collector.collect(1000.0, SERVICES, [report(levels, 30.0)], {})
-        slot = self.collector.collect(1060.0, SERVICES, [report(entry(), 90.0)], {})["times"].slot
+        counter = make_counter()
+        counter.record("times", "north", Code.ANSWERED, 0.1)
+        self.collector.collect(1000.0, SERVICES, [report(counter, 30.0)], {})
+        slot = self.collector.collect(1060.0, SERVICES, [report(make_counter(), 90.0)], {})[
+            "times"
+        ].slot
         self.assertEqual((slot.covered_s, slot.good), (0.0, 0))
-        levels.record("times", "north", Code.ANSWERED, 9.0)
-        self.collector.collect(1120.0, SERVICES, [report(levels, 150.0)], {})
-        decreased = entry()
+        counter.record("times", "north", Code.ANSWERED, 9.0)
+        self.collector.collect(1120.0, SERVICES, [report(counter, 150.0)], {})
+        decreased = make_counter()
         decreased.record("times", "north", Code.ANSWERED, 0.1)
         slot = self.collector.collect(1180.0, SERVICES, [report(decreased, 210.0)], {})[
             "times"
@@ -132,7 +136,7 @@
         self.assertEqual((slot.covered_s, slot.good, slot.bad), (0.0, 0, 0))
 
     def test_an_entry_that_is_gone_is_reported_as_missing_once(self) -> None:
-        self.collector.collect(1000.0, SERVICES, [report(entry(), 30.0)], {})
+        self.collector.collect(1000.0, SERVICES, [report(make_counter(), 30.0)], {})
         slot = self.collector.collect(1060.0, SERVICES, [], {})["times"].slot
         self.assertEqual(slot.missing["e1: gone, its last counts are lost"], 1)
         slot = self.collector.collect(1120.0, SERVICES, [], {})["times"].slot
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -27,13 +27,13 @@
 
 @dataclass
 class FakeLease:
-    """A lease that is held while ``holds`` is set."""
+    """A lease that is held while ``held`` is set."""
 
     term: int = 1
-    holds: bool = True
+    held: bool = True
 
     def is_held(self, now: float) -> bool:
-        return self.holds
+        return self.held
 
 
 @dataclass
@@ -119,7 +119,7 @@
         self.assertGreaterEqual(len(numbers), 2)
 
     async def test_a_standby_writes_nothing(self) -> None:
-        self.lease.holds = False
+        self.lease.held = False
         await self.run_for(20)
         self.assertEqual(self.writer.plans, [])
 
