--- a/briarspur/link.py
+++ b/briarspur/link.py
@@ -5,14 +5,14 @@
 __all__ = ["LinkPacer"]
 
 BURST_S = 0.25
-"""Largest burst after an idle time, in seconds of the rate."""
+"""Maximum burst after idle time, in seconds of transmission at the rate."""
 
 
 class LinkPacer:
     """Paces the traffic of one entry on one link.
 
     Uses two token buckets whose balance may become negative. Downloads and bulk traffic are
-    charged to both and are held to their part of the rate; small responses are charged only to
+    charged to both and are limited to their part of the rate; small responses are charged only to
     the bucket of the full rate, so downloads never use up the reserved part. Each entry stays
     within its own share of the link, without measuring the link's load: lost or late measurements
     can't push the link over its limit.
@@ -30,7 +30,7 @@
         self._large = _Bucket(rate * (1 - small_share), now)
 
     def charge(self, priority: Priority, size: int, now: float) -> float:
-        """Charge ``size`` bytes that were just sent; return the seconds to pause the sender."""
+        """Charge ``size`` bytes that were just sent; return the sender's pause in seconds."""
         pause = self._full.charge(size, now)
         if priority >= Priority.DOWNLOAD:
             return max(pause, self._large.charge(size, now))
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -184,7 +184,7 @@
         self.run_on_loop(work())
 
     def test_stop_waits_for_open_responses(self) -> None:
-        """Guards against responses that are cut when an entry is stopped.
+        """Guards against responses that are truncated when an entry is stopped.
 
         A download continues after the port was closed. The process may end only when the caller has
         received every byte.
@@ -212,15 +212,15 @@
                 await asyncio.sleep(0.2)
                 self.assertFalse(stop.done())
                 resume.set()
-                read = await download
-                self.assertEqual((read.body, read.truncated), (b"halfhalf", False))
+                answer = await download
+                self.assertEqual((answer.body, answer.truncated), (b"halfhalf", False))
                 await stop
 
         self.run_on_loop(work())
 
 
 class TwoEntriesTest(LoopTestCase):
-    """Two entries of one region, with probes and forwards between them."""
+    """Two entries of one region, with probes and forwarded requests between them."""
 
     def test_key_runs_once_at_whichever_entry_it_arrives(self) -> None:
         """Guards against a booking that runs twice because it is repeated through another entry.
@@ -306,7 +306,7 @@
     def test_leaving_entry_still_serves_and_its_outcomes_are_found(self) -> None:
         """An entry is replaced while callers still have it in their look-ups.
 
-        It gives up its targets and still answers requests through the new owners. After its exit, a
+        It releases its targets and still answers requests through the new owners. After its exit, a
         booking that it ran is repeated at another entry, which answers from the outcomes that the
         first one wrote to the store.
         """
