--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,9 +1,10 @@
-"""Switch off one mechanism at a time in a copy of the tree, and measure what it was worth.
+"""Ablation study: disable one mechanism at a time in a clone and measure the effect.
 
 ``python tools/ablation.py --program PATH --site FILE --days scale-1 scale-2 --scratch DIR`` clones
-the repository once for each mechanism, replaces it there by its plain form, plays the days with the
-deployment's measuring program and prints one table. The product has no switch for any of this. The
-row ``unchanged`` is played as often as the others; with several seeds its spread is the noise.
+the repository once for each mechanism, replaces the mechanism in the clone by a trivial form,
+simulates the days with the deployment's measuring program and prints one table. The gateway itself
+has no settings that disable these mechanisms. The row ``unchanged`` is simulated as often as the
+others; with several seeds, its variation is the noise level.
 """
 
 import argparse
@@ -16,16 +17,16 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-__all__ = ["MECHANISMS", "UNCHANGED", "Measured", "Mechanism", "apply", "table"]
+__all__ = ["MECHANISMS", "UNCHANGED", "DayResult", "Mechanism", "disable", "format_table"]
 
 ROOT = Path(__file__).resolve().parent.parent
 GATEWAY = Path("briarspur/gateway")
-BUILT = "target"
+BUILD_DIRECTORY = "target"
 
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """What is switched off: in a file of the gateway, one text stands for another."""
+    """A mechanism, and the text replacement in a source file of the gateway that disables it."""
 
     name: str
     file: str = ""
@@ -85,12 +86,12 @@
     ),
     Mechanism("forgotten objects", "steering.py", "target.warmth.discard(key)", "pass"),
 )
-"""Each replacement must apply exactly once; a test holds the list to the sources."""
+"""Each ``old`` text must occur exactly once in its file; a test checks this."""
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
-    """One day under one mechanism's absence; ``worth`` is None if the day gave no report."""
+class DayResult:
+    """The result of one day with one mechanism disabled; ``worth`` is None without a report."""
 
     mechanism: str
     day: str
@@ -101,40 +102,42 @@
     broken: str = ""
 
 
-def apply(mechanism: Mechanism, tree: Path) -> None:
-    """Switch a mechanism off in a tree.
+def disable(mechanism: Mechanism, tree: Path) -> None:
+    """Disable a mechanism in a source tree.
 
     Raises
     ------
     ValueError
-        The text to be replaced does not stand there exactly once.
+        The text to replace does not occur exactly once.
     """
     if not mechanism.file:
         return
     path = tree / GATEWAY / mechanism.file
     source = path.read_text()
-    found = source.count(mechanism.old)
-    if found != 1:
-        raise ValueError(f"{mechanism.name}: {mechanism.old!r} stands {found} times in {path.name}")
+    occurrences = source.count(mechanism.old)
+    if occurrences != 1:
+        raise ValueError(
+            f"{mechanism.name}: {mechanism.old!r} occurs {occurrences} times in {path.name}"
+        )
     path.write_text(source.replace(mechanism.old, mechanism.new))
 
 
-def copy_of(mechanism: Mechanism, scratch: Path) -> Path:
-    """Return a fresh clone in which a mechanism is switched off."""
+def clone_without(mechanism: Mechanism, scratch: Path) -> Path:
+    """Clone the repository, disable a mechanism in the clone and return its path."""
     tree = scratch / mechanism.name.replace(" ", "-")
     shutil.rmtree(tree, ignore_errors=True)
     subprocess.run(["git", "clone", "--quiet", str(ROOT), str(tree)], check=True)
-    if (ROOT / BUILT).exists():
-        shutil.copytree(ROOT / BUILT, tree / BUILT)
-        (tree / BUILT / "deps").touch()
-    apply(mechanism, tree)
+    if (ROOT / BUILD_DIRECTORY).exists():
+        shutil.copytree(ROOT / BUILD_DIRECTORY, tree / BUILD_DIRECTORY)
+        (tree / BUILD_DIRECTORY / "deps").touch()
+    disable(mechanism, tree)
     return tree
 
 
 def measure(
     program: Path, site: Path, tree: Path, mechanism: Mechanism, day: str, seed: int
-) -> Measured:
-    """Play one day in a copy."""
+) -> DayResult:
+    """Simulate one day with the code of a clone and return its result."""
     report = tree.parent / f"{tree.name}-{day}-{seed}.json"
     report.unlink(missing_ok=True)
     command = [str(program), "run", str(site), day, "--report", str(report)]
@@ -144,24 +147,24 @@
     subprocess.run(command, cwd=tree, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     if not report.exists():
         print(f"{mechanism.name}, {day}, seed {seed}: no report", file=sys.stderr)
-        return Measured(mechanism.name, day, seed, None)
+        return DayResult(mechanism.name, day, seed, None)
     read = json.loads(report.read_text())
-    whole = read["all"]
-    asked = max(1, whole["n"])
+    totals = read["all"]
+    request_count = max(1, totals["n"])
     broken = ", ".join(f"{rule} {count}" for rule, count in read["breaks"].items())
-    return Measured(
+    return DayResult(
         mechanism.name,
         day,
         seed,
         read["G"],
-        whole["in_aim"] / asked,
-        whole["refused"] / asked,
+        totals["in_aim"] / request_count,
+        totals["refused"] / request_count,
         broken,
     )
 
 
-def table(results: Iterable[Measured]) -> str:
-    """Return the results as a table, a row for each mechanism and day."""
+def format_table(results: Iterable[DayResult]) -> str:
+    """Format the results as a Markdown table with one row per result."""
     lines = [
         "| switched off | day | seed | worth | in time | refused | rules broken |",
         "|---|---|---|---|---|---|---|",
@@ -179,29 +182,33 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the experiment and print the table."""
+    """Run the ablation study and print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--program", type=Path, required=True, help="plays a day of a deployment")
+    parser.add_argument(
+        "--program", type=Path, required=True, help="simulates a day of a deployment"
+    )
     parser.add_argument("--site", type=Path, required=True)
     parser.add_argument("--days", nargs="+", required=True)
-    parser.add_argument("--seeds", nargs="+", type=int, default=[0], help="0: the day's own")
-    parser.add_argument("--scratch", type=Path, required=True, help="where the copies are made")
-    parser.add_argument("--only", nargs="+", default=[], help="names of mechanisms")
+    parser.add_argument(
+        "--seeds", nargs="+", type=int, default=[0], help="0: the day's default seed"
+    )
+    parser.add_argument("--scratch", type=Path, required=True, help="directory for the clones")
+    parser.add_argument("--only", nargs="+", default=[], help="run only these mechanisms")
     parser.add_argument("--jobs", type=int, default=4)
     arguments = parser.parse_args(argv)
-    chosen = [item for item in MECHANISMS if not arguments.only or item.name in arguments.only]
+    selected = [item for item in MECHANISMS if not arguments.only or item.name in arguments.only]
     arguments.scratch.mkdir(parents=True, exist_ok=True)
-    trees = {item.name: copy_of(item, arguments.scratch) for item in chosen}
+    trees = {item.name: clone_without(item, arguments.scratch) for item in selected}
     with ThreadPoolExecutor(arguments.jobs) as pool:
         runs = [
             pool.submit(
                 measure, arguments.program, arguments.site, trees[item.name], item, day, seed
             )
-            for item in chosen
+            for item in selected
             for day in arguments.days
             for seed in arguments.seeds
         ]
-        print(table(run.result() for run in runs))
+        print(format_table(run.result() for run in runs))
     return 0
 
 
--- a/tools/check.py
+++ b/tools/check.py
@@ -1,8 +1,8 @@
 """Run the formatter, the linter, the type checker and the tests, and print one closing line.
 
-Tests named in KNOWN-RED.txt are run and printed, and their failures are not counted; each line of
-that file is ``test id | command and seed | what was seen | issue``. A finding that has no test yet
-stands there too, as ``hunted day``; no failure is passed over for it.
+Tests listed in KNOWN-RED.txt are run and printed, but their failures are not counted. Each line of
+that file is ``test id | command and seed | what was seen | issue``. A known fault without a test is
+listed as ``hunted day``; such a line excuses no failure.
 """
 
 import subprocess
@@ -17,8 +17,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
-"""Tests whose failures may be passed over at a time."""
-WITHOUT_TEST = "hunted day"
+"""Largest number of tests whose failures may be ignored at a time."""
+NO_TEST_PREFIX = "hunted day"
 FAILED = ("failed", "error")
 STATIC_CHECKS = (
     ("black", ["black", "--check", "--quiet", "."]),
@@ -28,9 +28,9 @@
 
 
 class OutcomePlugin(Plugin):  # type: ignore[misc]
-    """Count outcomes, and keep the failures that KNOWN-RED.txt names out of the count.
+    """Count test outcomes, excluding the failures listed in KNOWN-RED.txt.
 
-    nose2 makes the instance, so what the runner needs of it lives on the class.
+    nose2 creates the instance, so the state shared with the runner is kept on the class.
     """
 
     configSection = "outcomes"  # noqa: N815
@@ -39,7 +39,7 @@
     counts: ClassVar[Counter[str]] = Counter()
 
     def setTestOutcome(self, event) -> None:  # type: ignore[no-untyped-def]  # noqa: N802
-        """Turn the failure of a known red test into a skip."""
+        """Report the failure of a known red test as a skip."""
         if event.outcome in FAILED and event.test.id() in self.known_red:
             event.outcome = "skipped"
             event.reason = "KNOWN-RED"
@@ -49,29 +49,29 @@
         self.counts[event.outcome] += 1
 
 
-def known_red() -> list[str]:
-    """Return the lines of KNOWN-RED.txt, none if there is no such file."""
+def read_known_red() -> list[str]:
+    """Return the lines of KNOWN-RED.txt, or an empty list if the file is missing."""
     if not KNOWN_RED.exists():
         return []
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
-    tests = sum(not line.startswith(WITHOUT_TEST) for line in lines)
+    tests = sum(not line.startswith(NO_TEST_PREFIX) for line in lines)
     if tests > MAX_KNOWN_RED:
-        raise SystemExit(f"KNOWN-RED.txt names {tests} tests, at most {MAX_KNOWN_RED} may stand")
+        raise SystemExit(f"KNOWN-RED.txt names {tests} tests, at most {MAX_KNOWN_RED} are allowed")
     return lines
 
 
 def run_static_checks() -> tuple[int, int]:
-    """Run formatter, linter and type checker; return how many passed and failed."""
+    """Run the formatter, linter and type checker; return the counts of passed and failed checks."""
     passed = 0
     for name, command in STATIC_CHECKS:
-        done = subprocess.run([sys.executable, "-m", *command], cwd=ROOT, check=False)
-        print(f"{name}: {'ok' if done.returncode == 0 else 'FAILED'}", flush=True)
-        passed += done.returncode == 0
+        result = subprocess.run([sys.executable, "-m", *command], cwd=ROOT, check=False)
+        print(f"{name}: {'ok' if result.returncode == 0 else 'FAILED'}", flush=True)
+        passed += result.returncode == 0
     return passed, len(STATIC_CHECKS) - passed
 
 
 def run_tests() -> tuple[int, int]:
-    """Run every test below ``tests``; return how many passed and failed."""
+    """Run every test under ``tests``; return the counts of passed and failed tests."""
     program = PluggableTestProgram(
         module=None,
         argv=["nose2", "-s", "tests", "-t", str(ROOT), "--verbose"],
@@ -81,19 +81,19 @@
     )
     counts = OutcomePlugin.counts
     failed = sum(counts[outcome] for outcome in FAILED)
-    # A failed subtest has no outcome of its own, but makes the whole run a failed one.
+    # A failed subtest reports no separate outcome, but makes the whole run fail.
     if failed == 0 and not program.result.wasSuccessful():
         failed = 1
     return counts["passed"], failed
 
 
 def main() -> int:
-    """Run everything; return the exit code."""
-    red = known_red()
-    OutcomePlugin.known_red = frozenset(line.split("|")[0].strip() for line in red)
+    """Run all checks and tests; return the exit code."""
+    red_lines = read_known_red()
+    OutcomePlugin.known_red = frozenset(line.split("|")[0].strip() for line in red_lines)
     checks_passed, checks_failed = run_static_checks()
     tests_passed, tests_failed = run_tests()
-    for line in red:
+    for line in red_lines:
         print(f"known red: {line}")
     passed = checks_passed + tests_passed
     failed = checks_failed + tests_failed
@@ -102,7 +102,7 @@
 
 
 if __name__ == "__main__":
-    # The plugin is loaded by module name, so this module must be known under that name too.
+    # nose2 loads the plugin by module name, so this module is imported under that name too.
     sys.path.insert(0, str(ROOT))
     from tools import check
 
