--- a/tests/tools/test_faultsoak.py
+++ b/tests/tools/test_faultsoak.py
@@ -1,4 +1,4 @@
-"""A short run of the fault soak, and the seeds that once found something."""
+"""A short run of the fault soak, regression seeds, and tests of its checks."""
 
 import asyncio
 import json
@@ -7,26 +7,28 @@
 from pathlib import Path
 
 from tools.faultsoak import FaultSoak
-from tools.soaknotices import Left, Limited
-from tools.soakparts import Seen
+from tools.soaknotices import AdvertisedLeaving, AdvertisedLimit
+from tools.soakparts import CallResult
 
-KEPT_SEEDS: tuple[tuple[int, str], ...] = ((1, "the short run of CI; it has found nothing so far"),)
-"""Seeds with a line on what each found."""
-SECONDS = 9.0
+REGRESSION_SEEDS: tuple[tuple[int, str], ...] = (
+    (1, "the short run for CI; it has had no findings so far"),
+)
+"""Seeds, each with a line on its findings."""
+DURATION_S = 9.0
 
 
 class FaultSoakTest(unittest.TestCase):
-    """Processes under faults keep the promises, and the judge sees a broken one."""
+    """Gateways keep their guarantees under faults, and the checks detect violations."""
 
-    def test_kept_seeds(self) -> None:
-        for seed, story in KEPT_SEEDS:
-            with self.subTest(story), tempfile.TemporaryDirectory() as folder:
-                soak = FaultSoak(seed, SECONDS, 3, Path(folder))
+    def test_regression_seeds(self) -> None:
+        for seed, findings in REGRESSION_SEEDS:
+            with self.subTest(findings), tempfile.TemporaryDirectory() as folder:
+                soak = FaultSoak(seed, DURATION_S, 3, Path(folder))
                 asyncio.run(soak.run())
                 self.assertEqual([], soak.findings)
-                self.assertGreater(len(soak.seen), 50)
+                self.assertGreater(len(soak.results), 50)
 
-    def test_the_judge_sees_what_is_broken(self) -> None:
+    def test_violations_of_results_are_found(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             soak = FaultSoak(1, 1.0, 1, Path(folder))
             ledger = Path(folder) / "targets0.runs"
@@ -34,23 +36,31 @@
             ledger.write_text(
                 "".join(f'{{"id": "{row}", "target": "t", "at": 5.0}}\n' for row in rows)
             )
-            soak.seen = [
-                Seen("twice", "/base/once/", True, "g0", 5.0, 5.1, 200, True),
-                Seen("refused", "/base/once/", True, "g0", 5.0, 5.1, 503),
-                Seen("mixed", "/base/again/", False, "g0", 5.0, 5.1, 200, False),
-                Seen("unknown", "/base/again/", False, "g0", 5.0, 5.1, 404),
+            soak.results = [
+                CallResult("twice", "/base/once/", True, "g0", 5.0, 5.1, 200, True),
+                CallResult("refused", "/base/once/", True, "g0", 5.0, 5.1, 503),
+                CallResult("mixed", "/base/again/", False, "g0", 5.0, 5.1, 200, False),
+                CallResult("unknown", "/base/again/", False, "g0", 5.0, 5.1, 404),
             ]
-            soak._drained = [(1.0, "t")]
-            soak.judge()
+            soak._drained_targets = [(1.0, "t")]
+            soak.check_results()
             text = "\n".join(soak.findings)
-            for what in ("run twice", "but run", "not the server's", "not known", "nobody asked"):
-                self.assertIn(what, text)
-            self.assertIn("begun at a server that left", text)
+            for summary in (
+                "run more than once",
+                "but run",
+                "not the server's",
+                "not known",
+                "without a request",
+            ):
+                self.assertIn(summary, text)
+            self.assertIn("started at a server that had left", text)
 
-    def test_the_judge_sees_a_limit_that_is_not_kept(self) -> None:
+    def test_exceeding_an_advertised_limit_is_found(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             soak = FaultSoak(1, 1.0, 1, Path(folder))
-            soak.seen = [Seen(f"r{n}", "/base/again/", False, "g0", 0.0) for n in range(60)]
+            soak.results = [
+                CallResult(f"r{n}", "/base/again/", False, "g0", 0.0) for n in range(60)
+            ]
             rows = [
                 {"what": "arrival", "id": f"r{n}", "target": target, "at": 100.0 + n * step}
                 for target, step in (("fast", 0.1), ("slow", 0.8))
@@ -59,19 +69,20 @@
             ledger = Path(folder) / "targets0.runs"
             ledger.write_text("".join(json.dumps(row) + "\n" for row in rows))
             notices = soak._notices
-            notices._limited = [
-                Limited(target, "targets0", 1.0, 100.0, 150.0) for target in ("fast", "slow")
+            notices._limits = [
+                AdvertisedLimit(target, "targets0", 1.0, 100.0, 150.0)
+                for target in ("fast", "slow")
             ]
-            found = list(notices.judge(soak.seen))
+            found = list(notices.check(soak.results))
             self.assertEqual(1, len(found))
-            self.assertIn("fast named a limit of 1.0 a second and got 40", found[0])
-            notices._harms["g0"].append(103.0)
-            self.assertEqual([], list(notices.judge(soak.seen)))
+            self.assertIn("fast advertised a limit of 1.0/s and got 40", found[0])
+            notices._fault_ends["g0"].append(103.0)
+            self.assertEqual([], list(notices.check(soak.results)))
 
-    def test_the_judge_sees_requests_at_a_server_that_leaves_or_rests(self) -> None:
+    def test_requests_to_leaving_or_backing_off_servers_are_found(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             soak = FaultSoak(1, 1.0, 1, Path(folder))
-            soak.seen = [Seen(f"r{n}", "/base/again/", False, "g0", 0.0) for n in range(8)]
+            soak.results = [CallResult(f"r{n}", "/base/again/", False, "g0", 0.0) for n in range(8)]
             rows = [
                 {"what": what, "id": f"r{n}", "target": "t", "at": 100.0 + n * 0.6}
                 for n in range(8)
@@ -80,10 +91,10 @@
             ledger = Path(folder) / "targets0.runs"
             ledger.write_text("".join(json.dumps(row) + "\n" for row in rows))
             notices = soak._notices
-            notices._left = [Left("t", "targets0", 99.0)]
-            self.assertIn("t leaves and got r6 from g0", list(notices.judge(soak.seen)))
-            notices._left, notices._rested = [], [("t", "targets0")]
-            found = list(notices.judge(soak.seen))
-            self.assertEqual("t asked g0 for rest and got 4 requests in it", found[0])
-            notices._harms["targets0"] += [101.0, 104.0]
-            self.assertEqual([], list(notices.judge(soak.seen)))
+            notices._leaving = [AdvertisedLeaving("t", "targets0", 99.0)]
+            self.assertIn("t leaves and got r6 from g0", list(notices.check(soak.results)))
+            notices._leaving, notices._backoffs = [], [("t", "targets0")]
+            found = list(notices.check(soak.results))
+            self.assertEqual("t asked g0 to back off and got 4 requests", found[0])
+            notices._fault_ends["targets0"] += [101.0, 104.0]
+            self.assertEqual([], list(notices.check(soak.results)))
--- a/tools/faultsoak.py
+++ b/tools/faultsoak.py
@@ -1,9 +1,9 @@
-"""``make faultsoak SEED=n``: gateways as processes, harmed from outside, and what callers saw.
+"""``make faultsoak SEED=n``: inject faults into gateway processes and check what callers get.
 
-Processes are killed, paused, stopped and restarted; connections to the store and to backend servers
-are delayed, reset, cut and silenced by proxies; the store is away or loses answers. The same seed
-makes the same faults at the same times. A broken promise is printed with its request, the logs are
-kept, and the exit code is 1.
+Processes are killed, paused, stopped and restarted; proxies delay, reset, refuse and black-hole
+connections to the store and to backend servers; the store is unavailable or loses responses. The
+same seed makes the same faults at the same times. Each violated guarantee is printed with its
+request, the logs are kept, and the exit code is 1.
 """
 
 import argparse
@@ -28,142 +28,142 @@
 from tools.soaknotices import NoticeFaults  # noqa: E402
 from tools.soakparts import (  # noqa: E402
     HOST,
+    NOT_RUN_STATUSES,
     ONCE,
-    PROMISES,
     REPEAT,
     SERVICES,
     Caller,
-    Seen,
-    Site,
+    CallResult,
+    SoakDeployment,
     call_store,
 )
 
 __all__ = ["FaultSoak", "main"]
 
-CALLERS = 12
-SETTLE_S = 4.0
-START_S = 20.0
-DRAIN_S = 3.0
-"""Seconds after a server said that it leaves from which nothing new may begin there."""
-IN_FORCE_S = 4.0
-"""Seconds after a quiet change from which no gateway may lack its route. The bound is 2.5 s; the
-rest is for a busy machine."""
+CALLER_COUNT = 12
+SETTLING_TIME_S = 4.0
+MAX_START_S = 20.0
+MAX_DRAIN_S = 3.0
+"""Once this time has passed after a server reported draining, no request may start there."""
+MAX_PROPAGATION_S = 4.0
+"""Time within which every gateway must know a route that was added without a disturbance. The
+guaranteed bound is 2.5 s; the remainder allows for a busy machine."""
 SETTINGS_VARIABLE = "BRIARSPUR_BOOT"
 
 
 class FaultSoak:
-    """One seeded run.
+    """One run of the fault soak with a given seed.
 
     Attributes
     ----------
     findings : list of str
-        Promises that were broken.
+        Guarantees that were violated.
     """
 
     def __init__(self, seed: int, seconds: float, gateways: int, folder: Path) -> None:
         self._rng = random.Random(seed)
         self._seconds = seconds
-        self.site = Site(folder)
-        self.site.plan(gateways, 2)
+        self.deployment = SoakDeployment(folder)
+        self.deployment.allocate_ports(gateways, 2)
         self._launcher = Launcher(folder)
-        self.seen: list[Seen] = []
+        self.results: list[CallResult] = []
         self.findings: list[str] = []
         self.faults: list[str] = []
-        self._disturbed = 0.0
+        self._last_disturbance = 0.0
         self._version = 1
-        self._added: list[tuple[float, str, bool]] = []
-        self._drained: list[tuple[float, str]] = []
+        self._added_routes: list[tuple[float, str, bool]] = []
+        self._drained_targets: list[tuple[float, str]] = []
         self._callers: list[Caller] = []
-        self._notices = NoticeFaults(self._rng, self.site, self._launcher)
+        self._notices = NoticeFaults(self._rng, self.deployment, self._launcher)
 
     async def run(self) -> None:
-        """Start everything, harm it, end it, and judge."""
+        """Start the deployment, inject faults under load, stop it and check the results."""
         with self._launcher:
-            port = str(self.site.store_port)
+            port = str(self.deployment.store_port)
             self._start("store", "standins.objectapi", "--host", HOST, "--port", port)
-            await self._until(self._store_answers)
-            await self._configure()
-            for process in self.site.targets_by_process:
+            await self._wait_until(self._is_store_up)
+            await self._write_policy()
+            for process in self.deployment.targets_by_process:
                 self._start_targets(process)
-            for proxy in self.site.proxies.values():
+            for proxy in self.deployment.proxies.values():
                 await proxy.__aenter__()
-            for name in self.site.gateways:
+            for name in self.deployment.gateways:
                 self._start_gateway(name)
-            await self._until(self._all_ready)
+            await self._wait_until(self._all_ready)
             until = time.time() + self._seconds
             self._callers = [
-                Caller(n, self.site, random.Random(self._rng.random()), self.seen)
-                for n in range(CALLERS)
+                Caller(n, self.deployment, random.Random(self._rng.random()), self.results)
+                for n in range(CALLER_COUNT)
             ]
-            calling = [asyncio.ensure_future(caller.run(until)) for caller in self._callers]
-            await self._harm(until - SETTLE_S)
-            await asyncio.gather(*calling)
+            caller_tasks = [asyncio.ensure_future(caller.run(until)) for caller in self._callers]
+            await self._inject_faults(until - SETTLING_TIME_S)
+            await asyncio.gather(*caller_tasks)
             await asyncio.sleep(1.0)
-            for proxy in self.site.proxies.values():
+            for proxy in self.deployment.proxies.values():
                 await proxy.__aexit__(None, None, None)
-        self.judge()
+        self.check_results()
 
     # Faults
 
-    async def _harm(self, until: float) -> None:
-        """Make faults in series that overlap, until a time; then end them all."""
+    async def _inject_faults(self, until: float) -> None:
+        """Start overlapping faults until the given time, then wait until all have ended."""
         kinds: list[Callable[[], Awaitable[None]]] = [
             self._kill_gateway,
             self._stop_gateway,
             self._pause_gateway,
-            self._hang_up,
-            self._harm_store_path,
-            self._harm_target,
-            self._store_away,
+            self._reload_gateway,
+            self._inject_store_path_fault,
+            self._inject_target_path_fault,
+            self._inject_store_outage,
             self._kill_targets,
-            self._drain,
-            self._change,
-            self._notices.limit,
-            self._notices.leave,
-            self._notices.rest,
+            self._drain_target,
+            self._add_route,
+            self._notices.advertise_limit,
+            self._notices.advertise_leaving,
+            self._notices.request_backoff,
         ]
-        running: list[asyncio.Future[None]] = []
+        fault_tasks: list[asyncio.Future[None]] = []
         while time.time() < until:
             kind = self._rng.choice(kinds)
             self.faults.append(f"{time.time():.3f} {kind.__name__}")
-            running.append(asyncio.ensure_future(kind()))
+            fault_tasks.append(asyncio.ensure_future(kind()))
             await asyncio.sleep(self._rng.uniform(0.1, 1.5))
-        await asyncio.gather(*running)
+        await asyncio.gather(*fault_tasks)
 
     async def _kill_gateway(self) -> None:
-        name = self._gateway()
+        name = self._random_gateway()
         self._launcher.signal(name, signal.SIGKILL)
         await self._restart(name)
 
     async def _stop_gateway(self) -> None:
-        name = self._gateway()
+        name = self._random_gateway()
         self._launcher.signal(name, signal.SIGTERM)
         if self._rng.random() < 0.5:
             self._launcher.signal(name, signal.SIGTERM)
         await self._restart(name)
 
     async def _pause_gateway(self) -> None:
-        name = self._gateway()
-        self._disturb()
+        name = self._random_gateway()
+        self._record_disturbance()
         self._launcher.signal(name, signal.SIGSTOP)
         await asyncio.sleep(self._rng.uniform(0.2, 2.5))
         self._launcher.signal(name, signal.SIGCONT)
-        self._disturb()
-        self._notices.harmed(name)
+        self._record_disturbance()
+        self._notices.record_fault(name)
 
-    async def _hang_up(self) -> None:
-        self._launcher.signal(self._gateway(), signal.SIGHUP)
+    async def _reload_gateway(self) -> None:
+        self._launcher.signal(self._random_gateway(), signal.SIGHUP)
 
-    async def _harm_store_path(self) -> None:
-        await self._harm_path(f"store-{self._gateway()}")
+    async def _inject_store_path_fault(self) -> None:
+        await self._inject_path_fault(f"store-{self._random_gateway()}")
 
-    async def _harm_target(self) -> None:
-        names = [name for name in self.site.proxies if not name.startswith("store-")]
-        await self._harm_path(self._rng.choice(names))
+    async def _inject_target_path_fault(self) -> None:
+        names = [name for name in self.deployment.proxies if not name.startswith("store-")]
+        await self._inject_path_fault(self._rng.choice(names))
 
-    async def _harm_path(self, name: str) -> None:
-        proxy = self.site.proxies[name]
-        self._disturb()
+    async def _inject_path_fault(self, name: str) -> None:
+        proxy = self.deployment.proxies[name]
+        self._record_disturbance()
         harm = self._rng.choice(
             (
                 Harm(delay=0.15),
@@ -180,100 +180,109 @@
         proxy.harm = Harm()
         if harm.silent_there or harm.silent_back:
             proxy.reset()
-        self._disturb()
-        self._notices.harmed(name)
+        self._record_disturbance()
+        self._notices.record_fault(name)
 
-    async def _store_away(self) -> None:
-        self._disturb()
+    async def _inject_store_outage(self) -> None:
+        self._record_disturbance()
         outage = self._rng.choice(("busy", "reset", "silent"))
-        await self._control({"outage": outage, "lose_answers": self._rng.choice((0, 2))})
+        await self._control_store({"outage": outage, "lose_answers": self._rng.choice((0, 2))})
         await asyncio.sleep(self._rng.uniform(0.3, 3.0))
-        await self._control({"outage": "none", "forget": self._rng.random() < 0.3})
-        self._disturb()
+        await self._control_store({"outage": "none", "forget": self._rng.random() < 0.3})
+        self._record_disturbance()
 
     async def _kill_targets(self) -> None:
-        process = self._rng.choice(list(self.site.targets_by_process))
+        process = self._rng.choice(list(self.deployment.targets_by_process))
         self._launcher.signal(process, signal.SIGKILL)
         await asyncio.sleep(self._rng.uniform(0.2, 1.5))
         if not self._launcher.alive(process):
             self._start_targets(process)
 
-    async def _drain(self) -> None:
-        process = self._rng.choice(list(self.site.targets_by_process))
-        item = self._rng.choice(self.site.targets_by_process[process])
-        if sum(i["draining"] for items in self.site.targets_by_process.values() for i in items) > 1:
+    async def _drain_target(self) -> None:
+        process = self._rng.choice(list(self.deployment.targets_by_process))
+        item = self._rng.choice(self.deployment.targets_by_process[process])
+        if (
+            sum(
+                i["draining"]
+                for items in self.deployment.targets_by_process.values()
+                for i in items
+            )
+            > 1
+        ):
             return
         item["draining"] = True
-        self.site.write_targets(process)
+        self.deployment.write_targets(process)
         self._launcher.signal(process, signal.SIGHUP)
         for _ in range(40):
             await asyncio.sleep(0.1)
             try:
                 status, found = await call_store(
-                    self.site.store_port, "GET", f"/objects/servers/{item['id']}"
+                    self.deployment.store_port, "GET", f"/objects/servers/{item['id']}"
                 )
             except (OSError, ValueError, IndexError):
                 continue
             if status == 200 and found["spec"]["state"] == "draining":
-                self._drained.append((time.time(), item["id"]))
+                self._drained_targets.append((time.time(), item["id"]))
                 return
 
-    async def _change(self) -> None:
-        quiet_since = self._disturbed
+    async def _add_route(self) -> None:
+        disturbed_before = self._last_disturbance
         self._version += 1
         try:
-            await self._configure()
+            await self._write_policy()
         except (OSError, ValueError, IndexError):
-            # The store did not take it; the next change carries the same routes.
+            # The store did not accept the change; the next change contains the same routes.
             return
         path = f"/v{self._version}/"
-        self._added.append((time.time(), path, quiet_since == self._disturbed))
+        self._added_routes.append((time.time(), path, disturbed_before == self._last_disturbance))
         for caller in self._callers:
             caller.paths = [*caller.paths[-5:], path]
 
-    # Parts
+    # Helpers
 
-    def _disturb(self) -> None:
-        self._disturbed = time.time()
+    def _record_disturbance(self) -> None:
+        self._last_disturbance = time.time()
 
-    def _gateway(self) -> str:
-        return self._rng.choice(list(self.site.gateways))
+    def _random_gateway(self) -> str:
+        return self._rng.choice(list(self.deployment.gateways))
 
     async def _restart(self, name: str) -> None:
-        self._disturb()
+        self._record_disturbance()
         while self._launcher.alive(name):
             await asyncio.sleep(0.05)
         await asyncio.sleep(self._rng.uniform(0.0, 0.5))
         if not self._launcher.alive(name):
             self._start_gateway(name)
-        self._disturb()
-        self._notices.harmed(name)
+        self._record_disturbance()
+        self._notices.record_fault(name)
 
     def _start(self, name: str, module: str, *arguments: str) -> None:
         self._launcher.start(name, module, *arguments)
 
     def _start_targets(self, process: str) -> None:
-        self._notices.harmed(process)
-        self._start(process, "standins.livetarget", "--settings", self.site.write_targets(process))
+        self._notices.record_fault(process)
+        self._start(
+            process, "standins.livetarget", "--settings", self.deployment.write_targets(process)
+        )
 
     def _start_gateway(self, name: str) -> None:
-        os.environ[SETTINGS_VARIABLE] = self.site.write_gateway(name)
+        os.environ[SETTINGS_VARIABLE] = self.deployment.write_gateway(name)
         self._start(name, "briarspur.platform")
 
-    async def _control(self, changes: dict[str, Any]) -> None:
-        await call_store(self.site.store_port, "POST", "/control", changes)
+    async def _control_store(self, changes: dict[str, Any]) -> None:
+        await call_store(self.deployment.store_port, "POST", "/control", changes)
 
-    async def _configure(self) -> None:
+    async def _write_policy(self) -> None:
         prefixes = ["/base/", *(f"/v{n}/" for n in range(2, self._version + 1))]
         resources: list[dict[str, Any]] = [
             {"entryKind": "services", "metadata": {"name": name}, "spec": {"maxConns": 200}}
             for name in SERVICES
         ]
         for number, prefix in enumerate(prefixes):
-            for kind, word in (("idempotent", REPEAT), ("non_idempotent", ONCE)):
+            for kind, path_part in (("idempotent", REPEAT), ("non_idempotent", ONCE)):
                 spec = {
                     "host": "quay.example",
-                    "pathPrefix": f"{prefix}{word}/",
+                    "pathPrefix": f"{prefix}{path_part}/",
                     "kind": kind,
                     "timeoutMs": 1500,
                     "latencyGoalMs": 400,
@@ -283,33 +292,37 @@
                     "sticky": True,
                 }
                 resources.append(
-                    {"entryKind": "routes", "metadata": {"name": f"{word}{number}"}, "spec": spec}
+                    {
+                        "entryKind": "routes",
+                        "metadata": {"name": f"{path_part}{number}"},
+                        "spec": spec,
+                    }
                 )
         spec = {"version": self._version, "resourceList": resources}
         body = {"metadata": {"name": "main"}, "spec": spec}
-        port = self.site.store_port
+        port = self.deployment.store_port
         status, _ = await call_store(port, "PUT", "/objects/config/main", body)
         if status == 404:
             status, _ = await call_store(port, "POST", "/objects/config", body)
         if status >= 300:
             raise ValueError(f"status {status}")
 
-    async def _until(self, holds: Callable[[], Awaitable[bool]]) -> None:
-        end = time.time() + START_S
+    async def _wait_until(self, condition: Callable[[], Awaitable[bool]]) -> None:
+        end = time.time() + MAX_START_S
         while time.time() < end:
             try:
-                if await holds():
+                if await condition():
                     return
             except (OSError, ValueError, IndexError):
                 pass
             await asyncio.sleep(0.1)
         raise SystemExit("the deployment did not come up")
 
-    async def _store_answers(self) -> bool:
-        return (await call_store(self.site.store_port, "GET", "/objects/config"))[0] == 200
+    async def _is_store_up(self) -> bool:
+        return (await call_store(self.deployment.store_port, "GET", "/objects/config"))[0] == 200
 
     async def _all_ready(self) -> bool:
-        for plan in self.site.gateways.values():
+        for plan in self.deployment.gateways.values():
             reader, writer = await asyncio.open_connection(HOST, plan["ready"])
             writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             line = await reader.readline()
@@ -318,75 +331,79 @@
                 return False
         return True
 
-    # Promises
-
-    def judge(self) -> None:
-        """Compare what callers saw with what the servers ran."""
-        runs = self.site.runs()
-        for seen in self.seen:
-            count = len(runs.get(seen.request_id, ()))
-            if seen.once and count > 1:
-                self._found("run twice", seen, count)
-            if seen.once and count and seen.status in PROMISES:
-                self._found("called not run, but run", seen, seen.status)
-            if seen.status == 200 and not seen.whole:
-                self._found("a success that is not the server's", seen, seen.status)
-            if seen.status == 404 and self._should_be_known(seen):
-                self._found("a route that is in force is not known", seen, seen.path)
-        known = {seen.request_id for seen in self.seen}
+    # Checks
+
+    def check_results(self) -> None:
+        """Compare the results of the callers with the requests that the servers ran."""
+        runs = self.deployment.runs()
+        for result in self.results:
+            count = len(runs.get(result.request_id, ()))
+            if result.once and count > 1:
+                self._add_finding("run more than once", result, count)
+            if result.once and count and result.status in NOT_RUN_STATUSES:
+                self._add_finding("reported as not run, but run", result, result.status)
+            if result.status == 200 and not result.complete:
+                self._add_finding(
+                    "a success with a response that is not the server's", result, result.status
+                )
+            if result.status == 404 and self._must_be_known(result):
+                self._add_finding("a route that must be in force is not known", result, result.path)
+        known = {result.request_id for result in self.results}
         for request_id, rows in runs.items():
             if request_id not in known:
-                self.findings.append(f"a run that nobody asked for: {request_id}")
-            self._judge_drain(request_id, rows)
-        self.findings.extend(self._notices.judge(self.seen))
-        answered = sum(seen.status == 200 for seen in self.seen)
-        if answered * 2 < len(self.seen):
-            self.findings.append(f"only {answered} of {len(self.seen)} requests were answered")
-
-    def _should_be_known(self, seen: Seen) -> bool:
-        for acknowledged, path, quiet in self._added:
-            if seen.path.startswith(path):
-                return quiet and seen.sent > acknowledged + IN_FORCE_S
-        return seen.path.startswith("/base/")
-
-    def _judge_drain(self, request_id: str, rows: list[dict[str, Any]]) -> None:
-        for left, target in self._drained:
+                self.findings.append(f"a run without a request of a caller: {request_id}")
+            self._check_drain(request_id, rows)
+        self.findings.extend(self._notices.check(self.results))
+        answered = sum(result.status == 200 for result in self.results)
+        if answered * 2 < len(self.results):
+            self.findings.append(f"only {answered} of {len(self.results)} requests were answered")
+
+    def _must_be_known(self, result: CallResult) -> bool:
+        for acknowledged, path, undisturbed in self._added_routes:
+            if result.path.startswith(path):
+                return undisturbed and result.sent > acknowledged + MAX_PROPAGATION_S
+        return result.path.startswith("/base/")
+
+    def _check_drain(self, request_id: str, rows: list[dict[str, Any]]) -> None:
+        for drained_at, target in self._drained_targets:
             for row in rows:
-                late = row["target"] == target and row["at"] > left + DRAIN_S
-                if late and self._disturbed < left:
-                    self.findings.append(f"begun at a server that left: {request_id} {target}")
+                is_late = row["target"] == target and row["at"] > drained_at + MAX_DRAIN_S
+                if is_late and self._last_disturbance < drained_at:
+                    self.findings.append(
+                        f"started at a server that had left: {request_id} {target}"
+                    )
 
-    def _found(self, what: str, seen: Seen, detail: object) -> None:
+    def _add_finding(self, summary: str, result: CallResult, detail: object) -> None:
         self.findings.append(
-            f"{what}: {seen.request_id} at {seen.gateway} {seen.sent:.3f}: {detail}"
+            f"{summary}: {result.request_id} at {result.gateway} {result.sent:.3f}: {detail}"
         )
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run some seeds; return 1 if any found something."""
+    """Run the given seeds; return 1 if any run has findings."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--runs", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=12.0)
     parser.add_argument("--gateways", type=int, default=4)
     arguments = parser.parse_args(argv)
-    bad = 0
+    failed_runs = 0
     for seed in range(arguments.seed, arguments.seed + arguments.runs):
         folder = Path(tempfile.mkdtemp(prefix=f"faultsoak-{seed}-"))
         soak = FaultSoak(seed, arguments.seconds, arguments.gateways, folder)
         asyncio.run(soak.run())
-        answered = sum(seen.status == 200 for seen in soak.seen)
+        answered = sum(result.status == 200 for result in soak.results)
         print(
-            f"seed {seed}: {len(soak.seen)} requests, {answered} answered, "
+            f"seed {seed}: {len(soak.results)} requests, {answered} answered, "
             f"{len(soak.faults)} faults, {len(soak.findings)} findings",
             flush=True,
         )
         if soak.findings:
-            bad += 1
+            failed_runs += 1
             print("\n".join([*soak.findings[:20], f"logs in {folder}"]), flush=True)
         else:
             shutil.rmtree(folder)
-    return 1 if bad else 0
+    return 1 if failed_runs else 0
 
 
 if __name__ == "__main__":
--- a/tools/soaknotices.py
+++ b/tools/soaknotices.py
@@ -1,4 +1,4 @@
-"""Faults of the soak in which a server says something of itself, and what may reach it then."""
+"""Fault soak: servers advertise limits, leaving and backoff, and their requests are checked."""
 
 import asyncio
 import random
@@ -10,175 +10,181 @@
 from typing import Any
 
 from standins.launcher import Launcher
-from tools.soakparts import Seen, Site
+from tools.soakparts import CallResult, SoakDeployment
 
-__all__ = ["Left", "Limited", "NoticeFaults"]
+__all__ = ["AdvertisedLeaving", "AdvertisedLimit", "NoticeFaults"]
 
-WINDOW, FACTOR, SLACK = 4.0, 1.5, 5.0
-"""Seconds of a window, and by how much its requests may exceed a limit: a factor, and requests."""
-CALM_S = 4.0
-"""Seconds after a word of a server, and after a harm, from which requests count."""
-LIMITS = (0.5, 1.5, 4.0)
-DRAIN_S = 2.5
-"""Seconds after the first answer that says so in which requests may reach a leaving server."""
-REST_S, HEARD_S, MOST_IN_REST = 3.0, 0.5, 2
-"""Seconds of a rest, seconds of it that don't count, and requests that may come in the others."""
-RELOAD_S, WORK_S = 0.5, 0.5
-"""Seconds until a server has read its settings anew, and until it has answered, at most."""
+WINDOW_S, LIMIT_FACTOR, LIMIT_SLACK = 4.0, 1.5, 5.0
+"""Length of a window, and the tolerance over a limit in it: a factor and a number of requests."""
+SETTLING_TIME_S = 4.0
+"""Requests this soon after an advertisement, or this close to a fault, are not checked."""
+LIMITS_PER_S = (0.5, 1.5, 4.0)
+MAX_DRAIN_S = 2.5
+"""How long requests may reach a leaving server after its first response that says so."""
+BACKOFF_S, BACKOFF_GRACE_S, MAX_DURING_BACKOFF = 3.0, 0.5, 2
+"""Length of a backoff, its start that is not checked, and the requests allowed in the remainder."""
+MAX_RELOAD_S, MAX_RESPONSE_S = 0.5, 0.5
+"""Longest time until a server has reloaded its settings, and until it has responded."""
 
 
 @dataclass(frozen=True, slots=True)
-class Limited:
-    """A server that named a limit for some time; unix times in seconds."""
+class AdvertisedLimit:
+    """A rate limit that a server advertised for some time; Unix times in seconds."""
 
     target_id: str
     process: str
     per_s: float
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
-    """A server that says in its answers that it leaves, from a unix time on."""
+class AdvertisedLeaving:
+    """A server that advertises in its responses, from a Unix time on, that it is leaving."""
 
     target_id: str
     process: str
-    began: float
+    started_at: float
 
 
 class NoticeFaults:
-    """Lets servers name limits, leave and ask for rest, and judges by what reached them.
+    """Makes servers advertise limits, leaving and backoff, and checks which requests reach them.
 
-    A gateway that was killed or stood still, and a way that was cut, excuse what comes from there.
+    Requests are not checked around the time at which their gateway was killed or paused, or at
+    which the network path to the server was disturbed.
     """
 
-    def __init__(self, rng: random.Random, site: Site, launcher: Launcher) -> None:
+    def __init__(self, rng: random.Random, deployment: SoakDeployment, launcher: Launcher) -> None:
         self._rng = rng
-        self._site = site
+        self._deployment = deployment
         self._launcher = launcher
-        self._harms: dict[str, list[float]] = defaultdict(list)
-        self._limited: list[Limited] = []
-        self._left: list[Left] = []
-        self._rested: list[tuple[str, str]] = []
+        self._fault_ends: dict[str, list[float]] = defaultdict(list)
+        self._limits: list[AdvertisedLimit] = []
+        self._leaving: list[AdvertisedLeaving] = []
+        self._backoffs: list[tuple[str, str]] = []
 
-    def harmed(self, name: str) -> None:
-        """Note that a process or a way was harmed until now."""
-        self._harms[name].append(time.time())
+    def record_fault(self, name: str) -> None:
+        """Record that a fault in a process or network path has just ended."""
+        self._fault_ends[name].append(time.time())
 
-    async def limit(self) -> None:
-        """Let a server name a limit for some seconds."""
+    async def advertise_limit(self) -> None:
+        """Make a server advertise a rate limit for some seconds."""
         process, item = self._pick()
         if "limit_per_s" in item:
             return
-        per_s = self._rng.choice(LIMITS)
+        per_s = self._rng.choice(LIMITS_PER_S)
         item["limit_per_s"] = per_s
         self._reload(process)
-        began = time.time()
-        await asyncio.sleep(self._rng.uniform(CALM_S, 2.0 * CALM_S))
-        self._limited.append(Limited(item["id"], process, per_s, began, time.time()))
+        started_at = time.time()
+        await asyncio.sleep(self._rng.uniform(SETTLING_TIME_S, 2.0 * SETTLING_TIME_S))
+        self._limits.append(AdvertisedLimit(item["id"], process, per_s, started_at, time.time()))
         del item["limit_per_s"]
         self._reload(process)
 
-    async def leave(self) -> None:
-        """Let a server say in its answers only that it leaves, and go on for the whole run."""
+    async def advertise_leaving(self) -> None:
+        """Make a server advertise leaving, in its responses only, until the run ends."""
         process, item = self._pick()
-        if self._left or "leaving" in item:
+        if self._leaving or "leaving" in item:
             return
         item["leaving"] = True
         self._reload(process)
-        self._left.append(Left(item["id"], process, time.time()))
+        self._leaving.append(AdvertisedLeaving(item["id"], process, time.time()))
 
-    async def rest(self) -> None:
-        """Let a server turn all requests away and ask for rest, for a while."""
+    async def request_backoff(self) -> None:
+        """Make a server reject all requests and ask for backoff for some seconds."""
         process, item = self._pick()
         if "rest_s" in item:
             return
-        item["rest_s"] = REST_S
+        item["rest_s"] = BACKOFF_S
         self._reload(process)
-        await asyncio.sleep(self._rng.uniform(1.0, CALM_S))
-        self._rested.append((item["id"], process))
+        await asyncio.sleep(self._rng.uniform(1.0, SETTLING_TIME_S))
+        self._backoffs.append((item["id"], process))
         del item["rest_s"]
         self._reload(process)
 
-    def judge(self, seen: Sequence[Seen]) -> Iterator[str]:
-        """Yield what was broken."""
-        gateways_by_id = {item.request_id: item.gateway for item in seen}
-        yield from self._judge_limits(gateways_by_id)
-        yield from self._judge_leaving(gateways_by_id)
-        yield from self._judge_rests(gateways_by_id)
-
-    def _judge_leaving(self, gateways_by_id: Mapping[str, str]) -> Iterator[str]:
-        """Yield what reached a server long after an answer had told the same gateway."""
-        for left in self._left:
-            told_at: dict[str, float] = {}
-            for row in self._site.arrivals(left.target_id):
-                gateway = gateways_by_id.get(row["id"], "")
-                if row["at"] < left.began + RELOAD_S or not self._is_calm(
-                    left.process, left.began - 1.0, row["at"]
+    def check(self, results: Sequence[CallResult]) -> Iterator[str]:
+        """Yield the violations."""
+        gateway_by_request = {result.request_id: result.gateway for result in results}
+        yield from self._check_limits(gateway_by_request)
+        yield from self._check_leaving(gateway_by_request)
+        yield from self._check_backoffs(gateway_by_request)
+
+    def _check_leaving(self, gateway_by_request: Mapping[str, str]) -> Iterator[str]:
+        """Yield requests that reached a server too long after it advertised leaving."""
+        for leaving in self._leaving:
+            notified_at: dict[str, float] = {}
+            for row in self._deployment.arrivals(leaving.target_id):
+                gateway = gateway_by_request.get(row["id"], "")
+                if row["at"] < leaving.started_at + MAX_RELOAD_S or not self._is_undisturbed(
+                    leaving.process, leaving.started_at - 1.0, row["at"]
                 ):
                     continue
-                first = told_at.setdefault(gateway, row["at"] + WORK_S)
-                harmed = not self._is_calm(gateway, left.began, row["at"])
-                if row["at"] > first + DRAIN_S and not harmed:
-                    yield f"{left.target_id} leaves and got {row['id']} from {gateway}"
-
-    def _judge_rests(self, gateways_by_id: Mapping[str, str]) -> Iterator[str]:
-        """Yield rests in which a gateway sent more than it may."""
-        for target_id, process in self._rested:
-            arrivals = self._site.arrivals(target_id)
-            for asked in self._site.rests(target_id):
-                gateway, at = gateways_by_id.get(asked["id"], ""), asked["at"]
-                # A target that starts again is another incarnation, which has asked for nothing.
-                ways = (gateway, target_id, process)
-                if not all(self._is_calm(name, at - 1.0, at + REST_S) for name in ways):
+                notified = notified_at.setdefault(gateway, row["at"] + MAX_RESPONSE_S)
+                disturbed = not self._is_undisturbed(gateway, leaving.started_at, row["at"])
+                if row["at"] > notified + MAX_DRAIN_S and not disturbed:
+                    yield f"{leaving.target_id} leaves and got {row['id']} from {gateway}"
+
+    def _check_backoffs(self, gateway_by_request: Mapping[str, str]) -> Iterator[str]:
+        """Yield backoffs during which a gateway sent too many requests."""
+        for target_id, process in self._backoffs:
+            arrivals = self._deployment.arrivals(target_id)
+            for backoff in self._deployment.backoffs(target_id):
+                gateway, at = gateway_by_request.get(backoff["id"], ""), backoff["at"]
+                # A restarted target is a new incarnation, which has not asked for backoff.
+                sources = (gateway, target_id, process)
+                if not all(
+                    self._is_undisturbed(name, at - 1.0, at + BACKOFF_S) for name in sources
+                ):
                     continue
                 count = sum(
-                    at + HEARD_S < row["at"] < at + REST_S
-                    and gateways_by_id.get(row["id"]) == gateway
+                    at + BACKOFF_GRACE_S < row["at"] < at + BACKOFF_S
+                    and gateway_by_request.get(row["id"]) == gateway
                     for row in arrivals
                 )
-                if count > MOST_IN_REST:
-                    yield f"{target_id} asked {gateway} for rest and got {count} requests in it"
+                if count > MAX_DURING_BACKOFF:
+                    yield f"{target_id} asked {gateway} to back off and got {count} requests"
 
-    def _judge_limits(self, gateways_by_id: Mapping[str, str]) -> Iterator[str]:
-        """Yield servers that got more than the limit they named."""
-        for limited in self._limited:
-            if not self._is_calm(limited.process, limited.began - 1.0, limited.ended):
+    def _check_limits(self, gateway_by_request: Mapping[str, str]) -> Iterator[str]:
+        """Yield servers that got more requests than their advertised limit allows."""
+        for limit in self._limits:
+            if not self._is_undisturbed(limit.process, limit.started_at - 1.0, limit.ended_at):
                 continue
             times = [
                 row["at"]
-                for row in self._site.arrivals(limited.target_id)
-                if limited.began <= row["at"] < limited.ended
-                and self._counts(gateways_by_id.get(row["id"], ""), limited, row["at"])
+                for row in self._deployment.arrivals(limit.target_id)
+                if limit.started_at <= row["at"] < limit.ended_at
+                and self._is_checked(gateway_by_request.get(row["id"], ""), limit, row["at"])
             ]
-            allowed = FACTOR * WINDOW * limited.per_s + SLACK
-            worst = _worst_window(times, limited.began + CALM_S)
-            if worst > allowed:
+            allowed = LIMIT_FACTOR * WINDOW_S * limit.per_s + LIMIT_SLACK
+            highest = _max_in_window(times, limit.started_at + SETTLING_TIME_S)
+            if highest > allowed:
                 yield (
-                    f"{limited.target_id} named a limit of {limited.per_s} a second and got "
-                    f"{worst} requests in {WINDOW:g} s, allowed {allowed:g}"
+                    f"{limit.target_id} advertised a limit of {limit.per_s}/s and got "
+                    f"{highest} requests in {WINDOW_S:g} s, allowed {allowed:g}"
                 )
 
     def _pick(self) -> tuple[str, dict[str, Any]]:
-        process = self._rng.choice(list(self._site.targets_by_process))
-        return process, self._rng.choice(self._site.targets_by_process[process])
+        process = self._rng.choice(list(self._deployment.targets_by_process))
+        return process, self._rng.choice(self._deployment.targets_by_process[process])
 
     def _reload(self, process: str) -> None:
-        self._site.write_targets(process)
+        self._deployment.write_targets(process)
         self._launcher.signal(process, signal.SIGHUP)
 
-    def _counts(self, gateway: str, limited: Limited, at: float) -> bool:
-        ways = (gateway, limited.target_id)
-        return all(self._is_calm(name, at - CALM_S, at + CALM_S) for name in ways)
+    def _is_checked(self, gateway: str, limit: AdvertisedLimit, at: float) -> bool:
+        sources = (gateway, limit.target_id)
+        return all(
+            self._is_undisturbed(name, at - SETTLING_TIME_S, at + SETTLING_TIME_S)
+            for name in sources
+        )
 
-    def _is_calm(self, name: str, begin: float, end: float) -> bool:
-        return not any(begin <= at <= end for at in self._harms.get(name, ()))
+    def _is_undisturbed(self, name: str, begin: float, end: float) -> bool:
+        return not any(begin <= at <= end for at in self._fault_ends.get(name, ()))
 
 
-def _worst_window(times: Sequence[float], begin: float) -> int:
-    """Return the most of some times in order in a window that ends after a moment."""
+def _max_in_window(times: Sequence[float], begin: float) -> int:
+    """Return the largest number of the sorted times in any window that ends after ``begin``."""
     return max(
-        (sum(at - WINDOW < other <= at for other in times) for at in times if at >= begin),
+        (sum(at - WINDOW_S < other <= at for other in times) for at in times if at >= begin),
         default=0,
     )
--- a/tools/soakparts.py
+++ b/tools/soakparts.py
@@ -1,4 +1,4 @@
-"""The deployment of the fault soak: processes, proxies, callers, and what they saw."""
+"""The deployment of the fault soak: processes, proxies, callers and the results of their calls."""
 
 import asyncio
 import json
@@ -13,22 +13,23 @@
 from standins.loopproxy import LoopProxy
 from standins.ports import free_port
 
-__all__ = ["Caller", "Seen", "Site", "call_store"]
+__all__ = ["Caller", "CallResult", "SoakDeployment", "call_store"]
 
 HOST = "127.0.0.1"
-ZONES = {"a-1": "a", "a-2": "a", "b-1": "b"}
+REGION_BY_ZONE = {"a-1": "a", "a-2": "a", "b-1": "b"}
 SERVICES = ("s0", "s1")
-ATTEMPT_S = 3.0
-STORE_CALL_S = 2.0
+MAX_ATTEMPT_S = 3.0
+MAX_STORE_CALL_S = 2.0
 ONCE, REPEAT = "once", "again"
-RUN, ARRIVAL, REST = "run", "arrival", "rest"
-"""What a line of a target's ledger tells."""
-PROMISES = frozenset({408, 421, 429, 503})
+RUN, ARRIVAL, BACKOFF = "run", "arrival", "rest"
+"""Kinds of the lines in a target's ledger."""
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses with which a gateway guarantees that a once-only request was not run."""
 
 
 @dataclass
-class Seen:
-    """What one caller saw of one request; times are unix seconds."""
+class CallResult:
+    """The result of one request as its caller observed it; times are Unix times in seconds."""
 
     request_id: str
     path: str
@@ -37,13 +38,13 @@
     sent: float
     ended: float = 0.0
     status: int = 0
-    whole: bool = False
-    cut: bool = False
+    complete: bool = False
+    truncated: bool = False
 
 
 @dataclass
-class Site:
-    """Where everything is, and the files of the processes."""
+class SoakDeployment:
+    """The addresses of all processes and proxies, and the files of the processes."""
 
     folder: Path
     store_port: int = 0
@@ -51,10 +52,10 @@
     targets_by_process: dict[str, list[dict[str, Any]]] = field(default_factory=dict)
     proxies: dict[str, LoopProxy] = field(default_factory=dict)
 
-    def plan(self, gateways: int, processes: int) -> None:
-        """Choose all ports."""
+    def allocate_ports(self, gateways: int, processes: int) -> None:
+        """Choose the ports of all processes and proxies."""
         self.store_port = free_port(HOST)
-        zones = sorted(ZONES)
+        zones = sorted(REGION_BY_ZONE)
         for number in range(gateways):
             name = f"g{number}"
             self.gateways[name] = {
@@ -82,26 +83,26 @@
             self.targets_by_process[f"targets{process}"] = items
 
     def write_gateway(self, name: str) -> str:
-        """Write a gateway's settings file; return its path."""
-        plan = self.gateways[name]
+        """Write the settings file of a gateway; return its path."""
+        ports = self.gateways[name]
         settings = {
             "entry_id": name,
             "host": HOST,
-            "zone": plan["zone"],
-            "zone_regions": ZONES,
-            "caller_address": f"{HOST}:{plan['caller']}",
-            "ready_address": f"{HOST}:{plan['ready']}",
-            "lookup_address": f"{HOST}:{plan['lookup']}",
-            "peer_address": f"{HOST}:{plan['peer']}",
-            "news_ports": f"{plan['news']},{plan['news']}",
+            "zone": ports["zone"],
+            "zone_regions": REGION_BY_ZONE,
+            "caller_address": f"{HOST}:{ports['caller']}",
+            "ready_address": f"{HOST}:{ports['ready']}",
+            "lookup_address": f"{HOST}:{ports['lookup']}",
+            "peer_address": f"{HOST}:{ports['peer']}",
+            "news_ports": f"{ports['news']},{ports['news']}",
             "seeds": ",".join(f"{HOST}:{g['peer']}" for g in list(self.gateways.values())[:3]),
-            "store": {"address": f"{HOST}:{plan['store']}"},
+            "store": {"address": f"{HOST}:{ports['store']}"},
             "bounds": {"grace_s": 6.0},
         }
         return self._write(f"{name}.json", settings)
 
     def write_targets(self, process: str) -> str:
-        """Write the settings file of a process of targets; return its path."""
+        """Write the settings file of a process that serves targets; return its path."""
         settings = {
             "ledger": str(self.folder / f"{process}.runs"),
             "store": f"{HOST}:{self.store_port}",
@@ -110,35 +111,35 @@
         return self._write(f"{process}.json", settings)
 
     def runs(self) -> dict[str, list[dict[str, Any]]]:
-        """Return the runs by request id, from the ledgers of all processes of targets."""
+        """Return the runs in the ledgers of all target processes, by request id."""
         by_id: dict[str, list[dict[str, Any]]] = defaultdict(list)
         for row in self._rows(RUN):
             by_id[row["id"]].append(row)
         return by_id
 
     def arrivals(self, target_id: str) -> list[dict[str, Any]]:
-        """Return the requests that reached a target, those included that it turned away."""
-        return self._of_target(ARRIVAL, target_id)
+        """Return the requests that reached a target, including those that it rejected."""
+        return self._rows_of_target(ARRIVAL, target_id)
 
-    def rests(self, target_id: str) -> list[dict[str, Any]]:
-        """Return the requests that a target turned away and answered with a rest."""
-        return self._of_target(REST, target_id)
+    def backoffs(self, target_id: str) -> list[dict[str, Any]]:
+        """Return the requests that a target rejected with a request to back off."""
+        return self._rows_of_target(BACKOFF, target_id)
 
-    def _of_target(self, what: str, target_id: str) -> list[dict[str, Any]]:
-        rows = [row for row in self._rows(what) if row["target"] == target_id]
+    def _rows_of_target(self, kind: str, target_id: str) -> list[dict[str, Any]]:
+        rows = [row for row in self._rows(kind) if row["target"] == target_id]
         return sorted(rows, key=itemgetter("at"))
 
-    def _rows(self, what: str) -> Iterator[dict[str, Any]]:
+    def _rows(self, kind: str) -> Iterator[dict[str, Any]]:
         for path in self.folder.glob("*.runs"):
             for line in path.read_text().splitlines():
                 row = json.loads(line)
-                if row.get("what", RUN) == what:
+                if row.get("what", RUN) == kind:
                     yield row
 
     def _proxy(self, name: str, port: int) -> int:
-        own = free_port(HOST)
-        self.proxies[name] = LoopProxy(HOST, own, HOST, port)
-        return own
+        proxy_port = free_port(HOST)
+        self.proxies[name] = LoopProxy(HOST, proxy_port, HOST, port)
+        return proxy_port
 
     def _write(self, name: str, document: object) -> str:
         path = self.folder / name
@@ -149,62 +150,64 @@
 async def call_store(
     port: int, method: str, path: str, body: object | None = None
 ) -> tuple[int, Any]:
-    """Make one call to the stand-in of the store, past all proxies.
+    """Make one call to the simulated store, bypassing all proxies.
 
     Raises
     ------
     TimeoutError
-        It did not answer; a silent outage of it is one of the faults.
+        The store did not respond; a silent outage is one of the injected faults.
     """
     data = b"" if body is None else json.dumps(body).encode()
     head = f"{method} {path} HTTP/1.1\r\nHost: store\r\nConnection: close\r\n"
     reader, writer = await asyncio.open_connection(HOST, port)
     try:
         writer.write(f"{head}Content-Length: {len(data)}\r\n\r\n".encode() + data)
-        async with asyncio.timeout(STORE_CALL_S):
-            answer = await reader.read()
+        async with asyncio.timeout(MAX_STORE_CALL_S):
+            response = await reader.read()
     finally:
         writer.close()
-    top, _, text = answer.partition(b"\r\n\r\n")
-    return int(top.split()[1]), json.loads(text) if text else None
+    response_head, _, text = response.partition(b"\r\n\r\n")
+    return int(response_head.split()[1]), json.loads(text) if text else None
 
 
 class Caller:
-    """Asks gateways where to go, keeps its connection for several requests, and notes all."""
+    """Looks up a gateway, sends several requests over one connection and records the results."""
 
-    def __init__(self, number: int, site: Site, rng: Any, seen: list[Seen]) -> None:
+    def __init__(
+        self, number: int, deployment: SoakDeployment, rng: Any, results: list[CallResult]
+    ) -> None:
         self._number = number
-        self._site = site
+        self._deployment = deployment
         self._rng = rng
-        self._seen = seen
+        self._results = results
         self._count = 0
         self.paths = ["/base/"]
-        self._kept: tuple[str, asyncio.StreamReader, asyncio.StreamWriter] | None = None
+        self._idle_connection: tuple[str, asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def run(self, until: float) -> None:
-        """Send requests until a time."""
+        """Send requests until the given time."""
         while time.time() < until:
-            await self._one()
+            await self._send_request()
             await asyncio.sleep(self._rng.uniform(0.0, 0.06))
-        if self._kept is not None:
-            self._kept[2].close()
+        if self._idle_connection is not None:
+            self._idle_connection[2].close()
 
-    async def _one(self) -> None:
+    async def _send_request(self) -> None:
         self._count += 1
         once = self._rng.random() < 0.4
         kind = ONCE if once else REPEAT
         path = f"{self._rng.choice(self.paths)}{kind}/"
         request_id = f"{kind}-{self._number}-{self._count}"
         try:
-            async with asyncio.timeout(ATTEMPT_S):
-                name, reader, writer = self._kept or await self._connect()
+            async with asyncio.timeout(MAX_ATTEMPT_S):
+                name, reader, writer = self._idle_connection or await self._connect()
         except (OSError, TimeoutError, EOFError, ValueError, IndexError):
-            # No gateway could be reached; that is a fault of the trial and not judged.
+            # No gateway was reachable because of an injected fault; this is not a finding.
             await asyncio.sleep(0.1)
             return
-        self._kept = None
-        seen = Seen(request_id, path, once, name, time.time())
-        self._seen.append(seen)
+        self._idle_connection = None
+        result = CallResult(request_id, path, once, name, time.time())
+        self._results.append(result)
         method = "POST" if once else "GET"
         writer.write(
             f"{method} {path} HTTP/1.1\r\nHost: quay.example\r\nX-Request-Id: {request_id}\r\n"
@@ -212,39 +215,39 @@
             f"Content-Length: 0\r\n\r\n".encode()
         )
         try:
-            async with asyncio.timeout(ATTEMPT_S):
-                keep = await self._read(seen, reader)
+            async with asyncio.timeout(MAX_ATTEMPT_S):
+                keep_alive = await self._read(result, reader)
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError):
-            seen.cut, keep = True, False
-        seen.ended = time.time()
-        if keep and self._rng.random() < 0.8:
-            self._kept = (name, reader, writer)
+            result.truncated, keep_alive = True, False
+        result.ended = time.time()
+        if keep_alive and self._rng.random() < 0.8:
+            self._idle_connection = (name, reader, writer)
         else:
             writer.close()
 
-    async def _read(self, seen: Seen, reader: asyncio.StreamReader) -> bool:
+    async def _read(self, result: CallResult, reader: asyncio.StreamReader) -> bool:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         lines = head.split("\r\n")
         headers = dict(line.lower().split(": ", 1) for line in lines[1:] if ": " in line)
         body = await reader.readexactly(int(headers["content-length"]))
-        seen.status = int(lines[0].split()[1])
-        expected = f"body of {seen.request_id} by ".encode()
-        signed = headers.get("x-response-signature") == f"s-{seen.request_id}"
-        seen.whole = signed and body.startswith(expected)
+        result.status = int(lines[0].split()[1])
+        expected = f"body of {result.request_id} by ".encode()
+        has_signature = headers.get("x-response-signature") == f"s-{result.request_id}"
+        result.complete = has_signature and body.startswith(expected)
         return headers.get("connection") != "close"
 
     async def _connect(self) -> tuple[str, asyncio.StreamReader, asyncio.StreamWriter]:
-        asked = self._rng.choice(list(self._site.gateways.values()))
-        reader, writer = await asyncio.open_connection(HOST, asked["lookup"])
+        gateway = self._rng.choice(list(self._deployment.gateways.values()))
+        reader, writer = await asyncio.open_connection(HOST, gateway["lookup"])
         writer.write(
             b"GET /resolve?name=quay.example&region=a&zone=a-1 HTTP/1.1\r\nHost: x\r\n\r\n"
         )
         head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
         length = int(head.split("content-length: ")[1].split("\r\n")[0])
-        found = json.loads(await reader.readexactly(length))["addresses"]
+        addresses = json.loads(await reader.readexactly(length))["addresses"]
         writer.close()
-        address = self._rng.choice(found)
+        address = self._rng.choice(addresses)
         port = int(address.rpartition(":")[2])
-        name = next(n for n, g in self._site.gateways.items() if g["caller"] == port)
+        name = next(n for n, g in self._deployment.gateways.items() if g["caller"] == port)
         reader, writer = await asyncio.open_connection(HOST, port)
         return name, reader, writer
