--- a/tests/tools/test_reference.py
+++ b/tests/tools/test_reference.py
@@ -1,4 +1,4 @@
-"""Tests that the reference pages equal the code."""
+"""Tests that the generated reference pages are up to date and complete."""
 
 import re
 import unittest
@@ -8,7 +8,7 @@
 from briarspur.exits import EXIT_MEANINGS, ExitCode
 from briarspur.logs import EVENTS
 from briarspur.metrics import METRICS
-from tools.reference import PAGES, ROOT, differing
+from tools.reference import PAGES, ROOT, outdated_pages
 
 EVENT_CALL = re.compile(r'logs\.event\(\s*"([a-z-]+)"')
 
@@ -16,12 +16,12 @@
 
 
 class ReferenceTest(unittest.TestCase):
-    """The pages are what tools/reference.py makes."""
+    """Compares the committed pages with the output of tools/reference.py."""
 
-    def test_committed_pages_equal_the_code(self) -> None:
-        self.assertEqual(differing(), [], "run: python tools/reference.py --write")
+    def test_committed_pages_are_up_to_date(self) -> None:
+        self.assertEqual(outdated_pages(), [], "run: python tools/reference.py --write")
 
-    def test_tables_are_whole(self) -> None:
+    def test_tables_are_complete(self) -> None:
         self.assertEqual(set(CODES), set(Code))
         self.assertEqual(set(EXIT_MEANINGS), set(ExitCode))
         page = PAGES["RESULT-CODES.md"]()
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,8 +1,8 @@
-"""Write the reference pages from the code, or check that they equal it.
+"""Generate the reference pages from the code, or check that they are up to date.
 
 ``python tools/reference.py --write`` writes ``docs/SETTINGS.md``, ``POLICY.md``,
 ``RESULT-CODES.md``, ``EXIT-CODES.md``, ``METRICS.md`` and ``LOG-EVENTS.md``; without ``--write`` it
-names the pages that differ and exits with 1.
+lists the outdated pages and exits with 1 if there are any.
 """
 
 import json
@@ -26,14 +26,14 @@
 from briarspur.metrics import METRICS  # noqa: E402
 from briarspur.policy import PolicyDocument  # noqa: E402
 
-__all__ = ["PAGES", "differing", "write"]
+__all__ = ["PAGES", "outdated_pages", "write_pages"]
 
 Schema = dict[str, Any]
 
-NOTICE = "Made from the code by `python tools/reference.py --write`; a test keeps it equal."
+NOTICE = "Generated from the code by `python tools/reference.py --write`; a test compares them."
 
 
-def _table(head: Iterable[str], rows: Iterable[Iterable[object]]) -> list[str]:
+def _markdown_table(head: Iterable[str], rows: Iterable[Iterable[object]]) -> list[str]:
     columns = list(head)
     lines = [f"| {' | '.join(columns)} |", "|" + "---|" * len(columns)]
     for row in rows:
@@ -42,38 +42,38 @@
     return lines
 
 
-def _page(title: str, *parts: list[str]) -> str:
+def _page(title: str, *sections: list[str]) -> str:
     lines = [f"# {title}", "", NOTICE, ""]
-    for part in parts:
-        lines += [*part, ""]
+    for section in sections:
+        lines += [*section, ""]
     return "\n".join(lines).rstrip() + "\n"
 
 
 def settings_page() -> str:
     """Return ``docs/SETTINGS.md``."""
-    parts = [
-        ["Settings are JSON files. Unknown keys are refused; each fault is named by its path."]
+    sections = [
+        ["Settings are JSON files. Unknown keys are rejected; each error is reported by path."]
     ]
     for module in (settings, limitsettings, processsettings, gatewaysettings):
         for name in module.__all__:
             model = getattr(module, name)
             if isinstance(model, type) and issubclass(model, BaseModel):
-                parts.append(_model_part(name, model.model_json_schema(), model))
-    return _page("Settings", *parts)
+                sections.append(_model_section(name, model.model_json_schema(), model))
+    return _page("Settings", *sections)
 
 
 def policy_page() -> str:
     """Return ``docs/POLICY.md``."""
     schema = PolicyDocument.model_json_schema()
     intro = [
-        "The policy is one JSON document. `briarspur check FILE` names every fault by its path. "
-        "Tables are keyed by name: 1 to 63 of `a-z`, `0-9` and `-`.",
+        "The policy is one JSON document. `briarspur check FILE` reports every error by its path. "
+        "Tables are keyed by name: 1 to 63 characters of `a-z`, `0-9` and `-`.",
     ]
-    parts = [intro, _model_part("PolicyDocument", schema, PolicyDocument)]
-    for name, inner in schema["$defs"].items():
-        if "properties" in inner:
-            parts.append(_schema_part(name, inner, inner.get("description", "")))
-    return _page("Policy", *parts)
+    sections = [intro, _model_section("PolicyDocument", schema, PolicyDocument)]
+    for name, definition in schema["$defs"].items():
+        if "properties" in definition:
+            sections.append(_schema_section(name, definition, definition.get("description", "")))
+    return _page("Policy", *sections)
 
 
 def codes_page() -> str:
@@ -84,42 +84,48 @@
         for code, info in sorted(CODES.items())
     ]
     intro = [
-        "Every answer of an entry carries its code in the header `Briarspur-Code`. 1xxx: answered; "
+        "Every response of an entry has its code in the header `Briarspur-Code`. 1xxx: answered; "
         "2xxx: refused, not run unless the row says otherwise; 3xxx: a once-only request whose "
-        "outcome is unknown; 4xxx: an idempotent request without a whole answer; 5xxx: a fault of "
-        "briarspur. Numbers are never given a new meaning.",
+        "outcome is unknown; 4xxx: an idempotent request without a complete response; 5xxx: an "
+        "error in briarspur. Numbers are never reused with another meaning.",
     ]
-    return _page("Result codes", intro, _table(head, rows))
+    return _page("Result codes", intro, _markdown_table(head, rows))
 
 
 def exits_page() -> str:
     """Return ``docs/EXIT-CODES.md``."""
     rows = [(int(code), code.name, meaning) for code, meaning in sorted(EXIT_MEANINGS.items())]
-    intro = ["Of the command line `briarspur`. Daemons end with 0, 1 or 2."]
-    return _page("Exit codes", intro, _table(("code", "name", "meaning"), rows))
+    intro = ["Exit codes of the command line `briarspur`. Daemons exit with 0, 1 or 2."]
+    return _page("Exit codes", intro, _markdown_table(("code", "name", "meaning"), rows))
 
 
 def metrics_page() -> str:
     """Return ``docs/METRICS.md``."""
     intro = [
-        "Sent over statsd, one UDP datagram a value. The name is the settings' prefix, the metric "
-        "and, where the meaning says `by`, a label, with points between.",
+        "Sent over statsd, one UDP datagram per value. The name consists of the prefix from the "
+        "settings, the metric and, where the meaning says `by`, a label, separated by dots.",
     ]
     rows = [(f"`{name}`", meaning) for name, meaning in sorted(METRICS.items())]
-    gateway = [
-        "A gateway serves its own at `/metrics` of its ready and look-up addresses, in the text "
-        "form that scrapers read, each with the prefix `briarspur_`.",
+    gateway_intro = [
+        "A gateway serves its own metrics at `/metrics` of its ready and look-up addresses, in the "
+        "Prometheus text format, each with the prefix `briarspur_`.",
     ]
-    served = [(f"`{name}`", meaning) for name, meaning in sorted(GATEWAY_METRICS.items())]
+    served_rows = [(f"`{name}`", meaning) for name, meaning in sorted(GATEWAY_METRICS.items())]
     head = ("metric", "type and meaning")
-    return _page("Metrics", intro, _table(head, rows), gateway, _table(head, served))
+    return _page(
+        "Metrics",
+        intro,
+        _markdown_table(head, rows),
+        gateway_intro,
+        _markdown_table(head, served_rows),
+    )
 
 
 def events_page() -> str:
     """Return ``docs/LOG-EVENTS.md``."""
-    intro = ["One line of key=value pairs an event, on standard output; `event` is the name."]
+    intro = ["Each event is one line of key=value pairs on standard output; `event` is the name."]
     rows = [(f"`{name}`", meaning) for name, meaning in sorted(EVENTS.items())]
-    return _page("Log events", intro, _table(("event", "meaning"), rows))
+    return _page("Log events", intro, _markdown_table(("event", "meaning"), rows))
 
 
 PAGES: dict[str, Callable[[], str]] = {
@@ -132,54 +138,54 @@
 }
 
 
-def _model_part(name: str, schema: Schema, model: type[BaseModel]) -> list[str]:
-    return _schema_part(name, schema, (model.__doc__ or "").strip())
+def _model_section(name: str, schema: Schema, model: type[BaseModel]) -> list[str]:
+    return _schema_section(name, schema, (model.__doc__ or "").strip())
 
 
-def _schema_part(name: str, schema: Schema, text: str) -> list[str]:
+def _schema_section(name: str, schema: Schema, text: str) -> list[str]:
     required = schema.get("required", [])
     rows = [
         (
             f"`{key}`",
-            _type(field),
-            "required" if key in required else f"`{_default(field)}`",
+            _describe_type(field),
+            "required" if key in required else f"`{_format_default(field)}`",
             field.get("description", ""),
         )
         for key, field in schema.get("properties", {}).items()
     ]
     lines = [f"## {name}", "", text.splitlines()[0] if text else "", ""]
-    return lines + _table(("key", "value", "default", "meaning"), rows)
+    return lines + _markdown_table(("key", "value", "default", "meaning"), rows)
 
 
-def _default(field: Schema) -> str:
+def _format_default(field: Schema) -> str:
     return json.dumps(field.get("default"))
 
 
-def _type(field: Schema) -> str:
-    """Return what a value may be, in words."""
+def _describe_type(field: Schema) -> str:
+    """Describe the allowed values of a field."""
     if "$ref" in field:
-        return _reference(field["$ref"])
+        return _link(field["$ref"])
     if "anyOf" in field:
-        return " or ".join(_type(choice) for choice in field["anyOf"])
+        return " or ".join(_describe_type(choice) for choice in field["anyOf"])
     if "enum" in field:
         return "one of " + ", ".join(f"`{value}`" for value in field["enum"])
     kind = field.get("type", "value")
     if kind == "array":
-        return f"list of {_type(field.get('items', {}))}"
+        return f"list of {_describe_type(field.get('items', {}))}"
     if kind == "object":
-        return f"table of {_table_value(field)}"
-    return _scalar(kind, field)
+        return f"table of {_describe_table_value(field)}"
+    return _describe_scalar(kind, field)
 
 
-def _table_value(field: Schema) -> str:
-    inner = field.get("additionalProperties")
+def _describe_table_value(field: Schema) -> str:
+    value_schema = field.get("additionalProperties")
     patterns = field.get("patternProperties", {})
     if patterns:
-        inner = next(iter(patterns.values()))
-    return _type(inner) if isinstance(inner, dict) else "values"
+        value_schema = next(iter(patterns.values()))
+    return _describe_type(value_schema) if isinstance(value_schema, dict) else "values"
 
 
-def _scalar(kind: str, field: Schema) -> str:
+def _describe_scalar(kind: str, field: Schema) -> str:
     low = field.get("minimum", field.get("exclusiveMinimum"))
     high = field.get("maximum", field.get("exclusiveMaximum"))
     if low is not None and high is not None:
@@ -191,33 +197,33 @@
     return str(kind)
 
 
-def _reference(target: str) -> str:
+def _link(target: str) -> str:
     name = target.rsplit("/", 1)[-1]
     return f"[{name}](#{name.lower()})"
 
 
-def differing() -> list[str]:
-    """Return the names of the pages in ``docs`` that do not equal the code."""
+def outdated_pages() -> list[str]:
+    """Return the names of the pages in ``docs`` that are missing or outdated."""
     return [
         name
-        for name, make in PAGES.items()
+        for name, render in PAGES.items()
         if not (ROOT / "docs" / name).exists()
-        or (ROOT / "docs" / name).read_text(encoding="utf-8") != make()
+        or (ROOT / "docs" / name).read_text(encoding="utf-8") != render()
     ]
 
 
-def write() -> None:
-    """Write every page."""
-    for name, make in PAGES.items():
-        (ROOT / "docs" / name).write_text(make(), encoding="utf-8")
+def write_pages() -> None:
+    """Write every reference page."""
+    for name, render in PAGES.items():
+        (ROOT / "docs" / name).write_text(render(), encoding="utf-8")
 
 
 def main() -> int:
-    """Write or check; return the exit code."""
+    """Write or check the pages; return the exit code."""
     if "--write" in sys.argv[1:]:
-        write()
+        write_pages()
         return 0
-    names = differing()
+    names = outdated_pages()
     for name in names:
         print(f"docs/{name} differs from the code: python tools/reference.py --write")
     return 1 if names else 0
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -1,7 +1,8 @@
-"""``make soak SEED=n MINUTES=n``: the randomised runs of the tests, for longer, from other seeds.
+"""``make soak SEED=n MINUTES=n``: run the state machines of the tests for longer, with other seeds.
 
-Each state machine of the tests runs in turn for a slice of the time, every slice from a new seed. A
-finding is printed with its machine and seed, and ends the run with exit code 1.
+The state machines take turns; each turn runs one machine with one seed, and the seed changes after
+every machine has had its turn. Each failure is printed with its machine and seed, and makes the
+exit code 1.
 """
 
 import argparse
@@ -29,17 +30,17 @@
     ("tests.coord.test_membership", "MembershipMachine"),
     ("tests.coord.test_quarantine", "PoisonMachine"),
 )
-EXAMPLES_A_SLICE = 100
-STEPS_AN_EXAMPLE = 80
+EXAMPLES_PER_SLICE = 100
+STEPS_PER_EXAMPLE = 80
 
 
-def counted(machine: type[RuleBasedStateMachine], steps_by_rule: Counter[str]) -> None:
-    """Let every rule of a machine count its steps."""
+def count_steps(machine: type[RuleBasedStateMachine], steps_by_rule: Counter[str]) -> None:
+    """Wrap every rule of a state machine so that its steps are counted."""
     for rule in machine.setup_state().rules:
-        object.__setattr__(rule, "function", _counting(rule.function, steps_by_rule))
+        object.__setattr__(rule, "function", _with_counter(rule.function, steps_by_rule))
 
 
-def _counting(function: Callable[..., Any], steps_by_rule: Counter[str]) -> Callable[..., Any]:
+def _with_counter(function: Callable[..., Any], steps_by_rule: Counter[str]) -> Callable[..., Any]:
     def step(*args: Any, **kwargs: Any) -> Any:
         steps_by_rule[function.__name__] += 1
         return function(*args, **kwargs)
@@ -49,55 +50,57 @@
 
 
 def slices(first_seed: int, ends_at: float) -> Iterator[tuple[str, str, int]]:
-    """Yield module, machine and seed until the time is over."""
-    number = first_seed
+    """Yield module name, machine name and seed until the time is over."""
+    seed_number = first_seed
     while True:
         for module, name in MACHINES:
             if time.monotonic() >= ends_at:
                 return
-            yield module, name, number
-        number += 1
+            yield module, name, seed_number
+        seed_number += 1
 
 
-def run_slice(machine: type[RuleBasedStateMachine], number: int) -> str | None:
-    """Run one machine from one seed; return the failure's text, None if there was none."""
-    bounds = settings(
-        max_examples=EXAMPLES_A_SLICE,
-        stateful_step_count=STEPS_AN_EXAMPLE,
+def run_slice(machine: type[RuleBasedStateMachine], seed_number: int) -> str | None:
+    """Run one machine with one seed; return the traceback of a failure, or None."""
+    run_settings = settings(
+        max_examples=EXAMPLES_PER_SLICE,
+        stateful_step_count=STEPS_PER_EXAMPLE,
         deadline=None,
         database=None,
         print_blob=False,
-        # Shrinking a finding takes minutes; its seed is enough to run it again.
+        # Shrinking a failure takes minutes; its seed is enough to reproduce it.
         phases=[Phase.generate],
         suppress_health_check=list(HealthCheck),
     )
     try:
-        run_state_machine_as_test(seed(number)(machine), settings=bounds)
-    except Exception:  # any failure of a machine is a finding
+        run_state_machine_as_test(seed(seed_number)(machine), settings=run_settings)
+    except Exception:  # any exception of a machine is a finding
         return traceback.format_exc()
     return None
 
 
 def main() -> int:
-    """Run the machines; return the exit code."""
+    """Run the state machines; return the exit code."""
     parser = argparse.ArgumentParser(prog="soak", description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--minutes", type=float, default=10.0)
     arguments = parser.parse_args()
     invariants.strict = True
-    # Calls that fail because the store is down are part of the runs; asyncio reports each of them.
+    # asyncio logs each store call that fails, but failed calls are an intended part of the runs.
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
     machines: dict[str, type[RuleBasedStateMachine]] = {}
     steps_by_machine: dict[str, Counter[str]] = {name: Counter() for _, name in MACHINES}
     findings = 0
-    for module, name, number in slices(arguments.seed, time.monotonic() + arguments.minutes * 60):
+    for module, name, seed_number in slices(
+        arguments.seed, time.monotonic() + arguments.minutes * 60
+    ):
         if name not in machines:
             machines[name] = getattr(importlib.import_module(module), name)
-            counted(machines[name], steps_by_machine[name])
-        failure = run_slice(machines[name], number)
+            count_steps(machines[name], steps_by_machine[name])
+        failure = run_slice(machines[name], seed_number)
         if failure is not None:
             findings += 1
-            print(f"finding: {name} seed {number}\n{failure}", flush=True)
+            print(f"finding: {name} seed {seed_number}\n{failure}", flush=True)
     for name, steps in steps_by_machine.items():
         rules = "  ".join(f"{rule} {count}" for rule, count in steps.most_common())
         print(f"{name}: {steps.total()} steps: {rules}")
