--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,4 +1,4 @@
-"""``make bench``: look-ups/s, requests/s, added latency, cost of a decision, peak memory."""
+"""``make bench``: measure look-ups/s, requests/s, added latency, decision time and peak memory."""
 
 import json
 import os
@@ -26,12 +26,12 @@
 GOAL_REQUESTS_PER_S = 1_500.0
 DECISIONS = 50_000
 SLOW_READ_BYTES_PER_S = 40 * 1_048_576
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """Ports of the processes."""
+    """Ports of the processes of a benchmark."""
 
     platform: int
     backend: int
@@ -40,8 +40,8 @@
     peer: int
 
 
-def plain_loop() -> float:
-    """Return the seconds of a fixed piece of work; shows how fast the core is just now."""
+def loop_time() -> float:
+    """Return the time in seconds of a fixed loop, which shows the present speed of the core."""
     started = time.perf_counter()
     total = 0
     for number in range(3_000_000):
@@ -50,20 +50,20 @@
 
 
 def free_ports() -> Ports:
-    """Return ports that were free a moment ago."""
+    """Return free ports; other processes may take them at any time."""
     return Ports(*(free_port(HOST) for _ in range(5)))
 
 
 @contextmanager
-def process(*command: str, at_once: bool = False) -> Iterator[subprocess.Popen[str]]:
-    """Run a process of this benchmark, and end it by its own id.
+def process(*command: str, kill_on_exit: bool = False) -> Iterator[subprocess.Popen[str]]:
+    """Run a Python module as a child process, and stop it on exit.
 
     Parameters
     ----------
-    at_once : bool
-        Do not wait for a graceful stop.
+    kill_on_exit : bool
+        Kill the process without waiting for a graceful stop.
     """
-    started = subprocess.Popen(
+    child = subprocess.Popen(
         [sys.executable, "-m", *command],
         cwd=ROOT,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
@@ -72,21 +72,21 @@
         text=True,
     )
     try:
-        yield started
+        yield child
     finally:
-        if at_once:
-            started.kill()
-        started.terminate()
+        if kill_on_exit:
+            child.kill()
+        child.terminate()
         try:
-            started.wait(20)
+            child.wait(20)
         except subprocess.TimeoutExpired:
-            started.kill()
-            started.wait()
+            child.kill()
+            child.wait()
 
 
 def load(port: int, *arguments: str) -> dict[str, Any]:
-    """Run the load process; return its result."""
-    done = subprocess.run(
+    """Run the load generator as a process; return its result."""
+    completed = subprocess.run(
         [sys.executable, "-m", "tools.benchload", "--port", str(port), *arguments],
         cwd=ROOT,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
@@ -94,12 +94,12 @@
         text=True,
         check=True,
     )
-    result: dict[str, Any] = json.loads(done.stdout)
+    result: dict[str, Any] = json.loads(completed.stdout)
     return result
 
 
 def wait_for_port(port: int) -> None:
-    """Wait until something listens."""
+    """Wait until a process listens on a port."""
     for _ in range(200):
         with socket.socket() as probe:
             if probe.connect_ex((HOST, port)) == 0:
@@ -108,23 +108,23 @@
     raise SystemExit(f"nothing listens on port {port}")
 
 
-def processor_seconds(pid: int) -> float:
-    """Return the processor time a process has used."""
+def cpu_seconds(pid: int) -> float:
+    """Return the CPU time in seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def resident_bytes(pid: int) -> int:
-    """Return the resident memory of a process."""
-    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
+    """Return the resident memory of a process in bytes."""
+    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 def measure_lookups(entry: int, ports: Ports) -> None:
-    """Print look-ups a second with 4 M blocks loaded."""
+    """Print the look-ups per second with 4 M blocks loaded."""
     for _ in range(ROUNDS):
-        before = processor_seconds(entry)
+        before = cpu_seconds(entry)
         result = load(ports.caller, "--lookups", "--seconds", "4", "--connections", "16")
-        share = (processor_seconds(entry) - before) / result["seconds"]
+        share = (cpu_seconds(entry) - before) / result["seconds"]
         rate = result["answers"] / result["seconds"]
         print(
             f"look-ups, 4 M blocks: {rate:,.0f}/s, p50 {result['p50']:.2f} ms, "
@@ -134,36 +134,36 @@
 
 
 def measure_requests(entry: int, ports: Ports) -> None:
-    """Print requests a second carried, and the latency added at half that rate."""
+    """Print the proxied requests per second, and the latency added at half that rate."""
     load(ports.caller, "--seconds", "3")
-    before = processor_seconds(entry)
+    before = cpu_seconds(entry)
     result = load(ports.caller, "--seconds", "5")
-    share = (processor_seconds(entry) - before) / result["seconds"]
+    share = (cpu_seconds(entry) - before) / result["seconds"]
     rate = result["answers"] / result["seconds"]
     print(
         f"requests carried: {rate:,.0f}/s, failed {result['failed']}, entry {share:.0%} of a core"
         "  (goal 1,500/s)"
     )
-    for each in (GOAL_REQUESTS_PER_S / 2, rate / 2):
-        measure_added_latency(ports, each)
+    for request_rate in (GOAL_REQUESTS_PER_S / 2, rate / 2):
+        measure_added_latency(ports, request_rate)
 
 
 def measure_added_latency(ports: Ports, rate: float) -> None:
-    """Print what carrying adds to calling the backend server directly, at one rate."""
+    """Print the latency that the entry adds to direct calls of the backend server, at one rate."""
     for _ in range(ROUNDS):
         direct = load(ports.backend, "--rate", str(rate), "--seconds", "4")
-        carried = load(ports.caller, "--rate", str(rate), "--seconds", "4")
+        proxied = load(ports.caller, "--rate", str(rate), "--seconds", "4")
         print(
             f"at {rate:,.0f}/s: direct p50 {direct['p50']:.2f} p99 {direct['p99']:.2f} ms, "
-            f"carried p50 {carried['p50']:.2f} p99 {carried['p99']:.2f} ms, "
-            f"added p50 {carried['p50'] - direct['p50']:.2f} p99 "
-            f"{carried['p99'] - direct['p99']:.2f} ms, failed {carried['failed']}"
+            f"carried p50 {proxied['p50']:.2f} p99 {proxied['p99']:.2f} ms, "
+            f"added p50 {proxied['p50'] - direct['p50']:.2f} p99 "
+            f"{proxied['p99'] - direct['p99']:.2f} ms, failed {proxied['failed']}"
             f"  (goal 1 and 5 ms at {GOAL_REQUESTS_PER_S / 2:,.0f}/s)"
         )
 
 
 def measure_decisions() -> None:
-    """Print the time of one whole request in the core: arrival, answer, end."""
+    """Print the time that the core needs for a request: arrival, start and end of the response."""
     core = make_core("entry-1", random.Random(1))
     requests = [
         Request(f"r-{n}", "GET", "/times/today", None, b"d" * 32, n, 1e9) for n in range(DECISIONS)
@@ -179,12 +179,12 @@
         begin = core.answer_began(action.attempt_id, 200, now)
         assert isinstance(begin[0], Begin)
         core.answer_ended(action.attempt_id, None, 200, now + 0.0005)
-    micros = (time.perf_counter() - started) / DECISIONS * 1e6
-    print(f"decision core: {micros:.1f} µs a request, {unserved} not dispatched  (goal 40 µs)")
+    request_us = (time.perf_counter() - started) / DECISIONS * 1e6
+    print(f"decision core: {request_us:.1f} µs a request, {unserved} not dispatched  (goal 40 µs)")
 
 
 def measure_transfer(entry: int, ports: Ports) -> None:
-    """Print the peak memory of a 256 MB transfer to a slow reader, above idle."""
+    """Print the peak memory, above idle, during a 256 MB transfer to a slow reader."""
     idle = resident_bytes(entry)
     peak, received, started = idle, 0, time.perf_counter()
     with socket.create_connection((HOST, ports.caller)) as caller:
@@ -192,8 +192,8 @@
         while data := caller.recv(1_048_576):
             received += len(data)
             peak = max(peak, resident_bytes(entry))
-            ahead = received / SLOW_READ_BYTES_PER_S - (time.perf_counter() - started)
-            time.sleep(max(0.0, ahead))
+            ahead_s = received / SLOW_READ_BYTES_PER_S - (time.perf_counter() - started)
+            time.sleep(max(0.0, ahead_s))
     print(
         f"256 MB to a reader of 40 MB/s: {received:,} bytes in {time.perf_counter() - started:.1f} "
         f"s, entry {idle / 1e6:.1f} MB idle, {(peak - idle) / 1e6:.1f} MB above it at the peak"
@@ -205,7 +205,7 @@
     """Run every benchmark."""
     print(
         f"{os.cpu_count()} cores, load average {os.getloadavg()[0]:.1f}, "
-        f"a plain loop of 3 million steps takes {plain_loop():.2f} s"
+        f"a plain loop of 3 million steps takes {loop_time():.2f} s"
     )
     measure_decisions()
     ports = free_ports()
--- a/tools/benchload.py
+++ b/tools/benchload.py
@@ -1,7 +1,7 @@
-"""Load for benchmarks: raw HTTP/1.1 connections, closed loop or at a fixed rate.
+"""Load generator for benchmarks: raw HTTP/1.1 connections, closed loop or at a fixed rate.
 
-Run as a process of its own (``python -m tools.benchload``), so that making the load does not share
-a core's time with what is measured; prints one JSON document.
+It runs as a separate process (``python -m tools.benchload``), so that generating the load does not
+take CPU time from the measured process, and prints one JSON document.
 """
 
 import argparse
@@ -14,13 +14,13 @@
 
 __all__ = ["LoadResult", "main"]
 
-HEAD_END = b"\r\n\r\n"
-LENGTH = b"content-length: "
+HEADERS_END = b"\r\n\r\n"
+CONTENT_LENGTH = b"content-length: "
 
 
 @dataclass
 class LoadResult:
-    """What was measured; latencies in milliseconds."""
+    """The result of a run; ``p50`` and ``p99`` in milliseconds, ``latencies`` in seconds."""
 
     answers: int = 0
     failed: int = 0
@@ -31,7 +31,7 @@
     latencies: list[float] = field(default_factory=list)
 
     def summarize(self) -> None:
-        """Work out the quantiles and drop the single values."""
+        """Compute the quantiles and discard the individual latencies."""
         ordered = sorted(self.latencies)
         if ordered:
             self.p50 = ordered[len(ordered) // 2] * 1000
@@ -40,47 +40,47 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection that has at most one request open."""
+    """A connection with at most one request in flight."""
 
     def __init__(self, load: "Load") -> None:
         self._load = load
         self._buffer = b""
-        self._since = 0.0
+        self._due_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Be ready for a request."""
+        """Register the connection as idle."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self._load.idle(self)
+        self._load.on_idle(self)
 
-    def send(self, request: bytes, since: float) -> None:
-        """Send a request that was due at ``since``."""
-        self._since = since
+    def send(self, request: bytes, due_at: float) -> None:
+        """Send a request; its latency counts from ``due_at``."""
+        self._due_at = due_at
         self.transport.write(request)
 
     def data_received(self, data: bytes) -> None:
-        """Take a part of an answer."""
+        """Collect the response; report it and become idle once it is complete."""
         self._buffer += data
-        end = self._buffer.find(HEAD_END)
+        end = self._buffer.find(HEADERS_END)
         if end < 0:
             return
         head = self._buffer[:end].lower()
-        start = head.find(LENGTH)
-        length = int(head[start + len(LENGTH) :].split(b"\r", 1)[0])
-        if len(self._buffer) < end + len(HEAD_END) + length:
+        start = head.find(CONTENT_LENGTH)
+        length = int(head[start + len(CONTENT_LENGTH) :].split(b"\r", 1)[0])
+        if len(self._buffer) < end + len(HEADERS_END) + length:
             return
-        ok = self._buffer.startswith(b"HTTP/1.1 200")
+        success = self._buffer.startswith(b"HTTP/1.1 200")
         self._buffer = b""
-        self._load.answered(ok, time.perf_counter() - self._since)
-        self._load.idle(self)
+        self._load.record_response(success, time.perf_counter() - self._due_at)
+        self._load.on_idle(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Count a connection that ended before the load did."""
-        self._load.lost()
+        """Report that the connection was closed."""
+        self._load.record_lost()
 
 
 class Load:
-    """Sends requests in a closed loop, or at ``rate`` a second if it is above 0."""
+    """Sends requests at ``rate`` per second, or in a closed loop if ``rate`` is 0."""
 
     def __init__(self, requests: list[bytes], rate: float, seconds: float) -> None:
         self.result = LoadResult()
@@ -92,34 +92,34 @@
         self._due: deque[float] = deque()
         self._running = False
 
-    def idle(self, connection: Connection) -> None:
-        """Use a connection again."""
+    def on_idle(self, connection: Connection) -> None:
+        """Send the next request on an idle connection, or keep it until one is due."""
         if self._running and (self._rate == 0 or self._due):
-            since = self._due.popleft() if self._due else time.perf_counter()
-            self._send(connection, since)
+            due_at = self._due.popleft() if self._due else time.perf_counter()
+            self._send(connection, due_at)
         else:
             self._idle.append(connection)
 
-    def answered(self, ok: bool, seconds: float) -> None:
-        """Count an answer."""
+    def record_response(self, success: bool, latency_s: float) -> None:
+        """Count a response."""
         if not self._running:
             return
-        self.result.answers += ok
-        self.result.failed += not ok
-        self.result.latencies.append(seconds)
+        self.result.answers += success
+        self.result.failed += not success
+        self.result.latencies.append(latency_s)
 
-    def lost(self) -> None:
-        """Count a lost connection."""
+    def record_lost(self) -> None:
+        """Count a connection that was closed during the run as a failure."""
         if self._running:
             self.result.failed += 1
 
     async def run(self, host: str, port: int, connections: int) -> None:
-        """Open the connections and send for the time."""
+        """Open the connections and send requests for the configured time."""
         loop = asyncio.get_running_loop()
         for _ in range(connections):
             await loop.create_connection(lambda: Connection(self), host, port)
         self._running = True
-        started, processor = time.perf_counter(), time.process_time()
+        started, cpu_started = time.perf_counter(), time.process_time()
         if self._rate:
             await self._send_at_rate(started)
         else:
@@ -128,10 +128,10 @@
             await asyncio.sleep(self._seconds)
         self._running = False
         self.result.seconds = time.perf_counter() - started
-        self.result.processor_s = time.process_time() - processor
+        self.result.processor_s = time.process_time() - cpu_started
 
     async def _send_at_rate(self, started: float) -> None:
-        """Send each request at its own time; latency counts from there, also if it waited here."""
+        """Send each request when due; its latency includes the wait for an idle connection."""
         number = 0
         while (now := time.perf_counter() - started) < self._seconds:
             while number / self._rate <= now:
@@ -143,14 +143,14 @@
                     self._due.append(due)
             await asyncio.sleep(max(0.0, number / self._rate - now))
 
-    def _send(self, connection: Connection, since: float) -> None:
+    def _send(self, connection: Connection, due_at: float) -> None:
         request = self._requests[self._sent % len(self._requests)]
         self._sent += 1
-        connection.send(request, since)
+        connection.send(request, due_at)
 
 
 def lookup_requests() -> list[bytes]:
-    """Return look-ups from blocks spread over the address space."""
+    """Return look-up requests for blocks across the whole address space."""
     blocks = ((n * 2654435761) % 2**32 for n in range(1, 2_000))
     return [
         b"GET /v1/lookup?service=times&block=%d.%d.%d.%d HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -160,7 +160,7 @@
 
 
 def main() -> int:
-    """Make the load and print the result."""
+    """Generate the load and print the result."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--connections", type=int, default=32)
--- a/tools/benchparts.py
+++ b/tools/benchparts.py
@@ -1,4 +1,4 @@
-"""The processes that a benchmark measures or needs: an entry, a backend server, a store."""
+"""Processes of a benchmark: the measured entry, and its backend server."""
 
 import argparse
 import asyncio
@@ -16,18 +16,18 @@
 __all__ = ["bench_policy", "main"]
 
 HOST = "127.0.0.1"
-SMALL = b"x" * 200
+SMALL_BODY = b"x" * 200
 CHUNK = b"x" * 65_536
 LARGE_BYTES = 256 * 1_048_576
-BLOCKS = 4_000_000
+BLOCK_COUNT = 4_000_000
 
 
 class Backend(asyncio.Protocol):
-    """A backend server that answers at once, or with 256 MB for a path that ends in ``large``."""
+    """A backend server that responds immediately; paths that end in ``large`` get 256 MB."""
 
     def __init__(self) -> None:
         self._buffer = b""
-        self._left = 0
+        self._remaining_bytes = 0
         self._paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -36,38 +36,38 @@
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answer each request head."""
+        """Respond to each complete request head."""
         self._buffer += data
         while (end := self._buffer.find(b"\r\n\r\n")) >= 0:
             head, self._buffer = self._buffer[:end], self._buffer[end + 4 :]
-            self._answer(head.split(b" ", 2)[1])
+            self._respond(head.split(b" ", 2)[1])
 
-    def _answer(self, path: bytes) -> None:
+    def _respond(self, path: bytes) -> None:
         large = path.endswith(b"large")
-        length = LARGE_BYTES if large else len(SMALL)
+        length = LARGE_BYTES if large else len(SMALL_BODY)
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % length
-        self._transport.write(head if large else head + SMALL)
+        self._transport.write(head if large else head + SMALL_BODY)
         if large:
-            self._left = length
+            self._remaining_bytes = length
             self._send()
 
     def _send(self) -> None:
-        while self._left > 0 and not self._paused and not self._transport.is_closing():
+        while self._remaining_bytes > 0 and not self._paused and not self._transport.is_closing():
             self._transport.write(CHUNK)
-            self._left -= len(CHUNK)
+            self._remaining_bytes -= len(CHUNK)
 
     def pause_writing(self) -> None:
-        """Wait until the receiver reads."""
+        """Stop sending until the receiver has read more."""
         self._paused = True
 
     def resume_writing(self) -> None:
-        """Go on."""
+        """Continue to send."""
         self._paused = False
         self._send()
 
 
 def bench_policy(backend_port: int) -> dict[str, Any]:
-    """Return a policy whose limits are far above the load."""
+    """Return a policy with limits far above the load of the benchmarks."""
     return {
         "user": "bench",
         "regions": {
@@ -99,33 +99,33 @@
 
 
 async def serve_backend(port: int) -> None:
-    """Run the backend server until the process is ended."""
+    """Run the backend server until the process is stopped."""
     server = await asyncio.get_running_loop().create_server(Backend, HOST, port)
     await server.serve_forever()
 
 
 class BenchEntry(EntryDaemon):
-    """An entry that puts its own policy in the store, and has 4 M blocks loaded."""
+    """An entry that writes its own policy to the store, and loads 4 M blocks."""
 
     def __init__(self, settings: EntrySettings, backend_port: int) -> None:
         super().__init__(settings)
         self._backend_port = backend_port
 
     async def start(self) -> None:
-        """Write the policy, start, and load the blocks."""
+        """Write the policy, start, load the blocks and print ``ready``."""
         document = parse(PolicyDocument, json.dumps(bench_policy(self._backend_port)), "policy")
         value = encode_revision(Draft(document, "bench", "bench", "", ""), 0)
         await self.store.put("policy", value, 0)
         await super().start()
         while not self.is_ready():
             await asyncio.sleep(0.05)
-        step = 2**32 // BLOCKS
-        self.node.take_blocks(BlockTable.from_runs((n * step, "north") for n in range(BLOCKS)))
+        step = 2**32 // BLOCK_COUNT
+        self.node.take_blocks(BlockTable.from_runs((n * step, "north") for n in range(BLOCK_COUNT)))
         print("ready", flush=True)
 
 
 def main() -> int:
-    """Run one part until SIGTERM."""
+    """Run the given process until SIGTERM."""
     parser = argparse.ArgumentParser()
     parser.add_argument("part", choices=["backend", "entry"])
     parser.add_argument("--port", type=int, required=True)
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,4 +1,4 @@
-"""``make capacity``: costs at three sizes, their fit, and what that gives at letter 1's size."""
+"""``make capacity``: measure costs at three sizes, fit a line and extrapolate to full size."""
 
 import json
 import os
@@ -26,36 +26,37 @@
 from tools import capacityfleet as fleet  # noqa: E402
 from tools.bench import (  # noqa: E402  # noqa: E402
     Ports,
+    cpu_seconds,
     free_ports,
-    plain_loop,
+    loop_time,
     process,
-    processor_seconds,
     resident_bytes,
     wait_for_port,
 )
 
-PEERS = (25, 100, 400)
-ENTRIES = (25, 100, 400)
-REAL = (12, 20, 32)
-REAL_ZONES = 3
-LOWEST_PORT = 20_000
-BLOCKS = (250_000, 1_000_000, 4_000_000)
+MEMBER_COUNTS = (25, 100, 400)
+ENTRY_COUNTS = (25, 100, 400)
+PROCESS_COUNTS = (12, 20, 32)
+PROCESS_ZONE_COUNT = 3
+MIN_PORT = 20_000
+BLOCK_COUNTS = (250_000, 1_000_000, 4_000_000)
 FULL_ENTRIES = 1_700
 FULL_BLOCKS = 4_000_000
-QUIET_S = 10.0
-SETTLE_S = 12.0
-"""Longer than a watch waits: only then have entries that began alone given theirs up."""
+IDLE_S = 10.0
+SETTLING_TIME_S = 12.0
+"""Longer than one wait of a watch. Entries that saw no others when they started watch the store
+too, and stop only when the wait ends."""
 HOMES = [f"region-{n}" for n in range(fleet.REGIONS)]
 
 
 @dataclass(frozen=True, slots=True)
-class Fit:
-    """A straight line through measured points.
+class LinearFit:
+    """A straight line fitted to measured points.
 
     Attributes
     ----------
     residual : float
-        Largest distance of a point from the line, as a part of the largest value.
+        Largest distance of a point from the line, as a share of the largest value.
     """
 
     base: float
@@ -63,119 +64,131 @@
     residual: float
 
     def at(self, size: float) -> float:
-        """Return the value of the line."""
+        """Return the value of the line at a size."""
         return self.base + self.slope * size
 
 
-def fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """Return the line of least squares."""
+def fit_line(sizes: Sequence[float], values: Sequence[float]) -> LinearFit:
+    """Return the least-squares line."""
     mean_x, mean_y = sum(sizes) / len(sizes), sum(values) / len(values)
-    spread = sum((x - mean_x) ** 2 for x in sizes)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(sizes, values, strict=True)) / spread
+    variance_sum = sum((x - mean_x) ** 2 for x in sizes)
+    slope = (
+        sum((x - mean_x) * (y - mean_y) for x, y in zip(sizes, values, strict=True)) / variance_sum
+    )
     base = mean_y - slope * mean_x
     worst = max(abs(base + slope * x - y) for x, y in zip(sizes, values, strict=True))
-    return Fit(base, slope, worst / max(max(values), 1e-12))
+    return LinearFit(base, slope, worst / max(max(values), 1e-12))
 
 
-def show(what: str, unit: str, sizes: Sequence[int], values: Sequence[float], full: int) -> None:
-    """Print one row: the points, the line and its value at full size."""
-    line = fit(sizes, values)
+def print_row(
+    label: str, unit: str, sizes: Sequence[int], values: Sequence[float], full: int
+) -> None:
+    """Print one table row: the points, the line and its value at full size."""
+    line = fit_line(sizes, values)
     points = "; ".join(f"{size:,}: {value:,.4g}" for size, value in zip(sizes, values, strict=True))
     print(
-        f"| {what} | {points} | {line.base:,.4g} + {line.slope:,.4g} n | {line.residual:.0%} "
+        f"| {label} | {points} | {line.base:,.4g} + {line.slope:,.4g} n | {line.residual:.0%} "
         f"| {line.at(full):,.4g} {unit} |",
         flush=True,
     )
 
 
-def timed(work: Callable[[], object], times: int = 5) -> float:
-    """Return the least processor time of some runs, in milliseconds."""
+def cpu_ms(function: Callable[[], object], times: int = 5) -> float:
+    """Return the smallest CPU time of several runs, in milliseconds."""
     best = float("inf")
     for _ in range(times):
         started = time.process_time()
-        work()
+        function()
         best = min(best, time.process_time() - started)
     return best * 1e3
 
 
 def measure_heartbeats() -> None:
-    """Measure heartbeats and the state they keep, by number of entries."""
-    costs = [fleet.heartbeat_cost(size) for size in PEERS]
-    show("heartbeats, processor µs a period", "µs", PEERS, [c.micros for c in costs], FULL_ENTRIES)
+    """Measure the heartbeats and the memory of the membership, by number of entries."""
+    costs = [fleet.heartbeat_cost(size) for size in MEMBER_COUNTS]
+    print_row(
+        "heartbeats, processor µs a period",
+        "µs",
+        MEMBER_COUNTS,
+        [c.micros for c in costs],
+        FULL_ENTRIES,
+    )
     sent = [c.bytes_sent for c in costs]
-    show("heartbeats, bytes a period", "B", PEERS, sent, FULL_ENTRIES)
-    memory = [fleet.record_bytes(size) / 1e6 for size in PEERS]
-    show("members known, MB", "MB", PEERS, memory, FULL_ENTRIES)
+    print_row("heartbeats, bytes a period", "B", MEMBER_COUNTS, sent, FULL_ENTRIES)
+    memory = [fleet.record_bytes(size) / 1e6 for size in MEMBER_COUNTS]
+    print_row("members known, MB", "MB", MEMBER_COUNTS, memory, FULL_ENTRIES)
 
 
 def measure_changes() -> None:
-    """Measure a change of the policy or of the members, by number of entries."""
-    sizes, parsing, taking, viewing, lookups = [], [], [], [], []
-    for entries in ENTRIES:
-        text = json.dumps(fleet.policy_of(entries))
-        sizes.append(fleet.document_bytes(fleet.policy_of(entries)) / 1e3)
-        parsing.append(timed(lambda t=text: compile_policy(parse_policy(t), 1)))  # type: ignore[misc]
-        view = fleet.view_of(entries)
+    """Measure changes of the policy and of the members, by number of entries."""
+    sizes, parsing, applying, viewing, lookups = [], [], [], [], []
+    for entries in ENTRY_COUNTS:
+        text = json.dumps(fleet.make_policy(entries))
+        sizes.append(fleet.document_bytes(fleet.make_policy(entries)) / 1e3)
+        parsing.append(cpu_ms(lambda t=text: compile_policy(parse_policy(t), 1)))  # type: ignore[misc]
+        view = fleet.make_view(entries)
         policies = [compile_policy(parse_policy(text), version) for version in range(1, 7)]
         core = Core("entry-0", "region-0", "0" * 16, random.Random(1), 0.0)
         core.policy_accepted(policies[0], lambda block: "region-0", 0.0)
         core.view_changed(view, 0.0)
-        rest = iter(policies[1:])
-        taking.append(timed(lambda c=core, r=rest: c.policy_accepted(next(r), _home, 0.0)))  # type: ignore[misc]
-        viewing.append(timed(lambda c=core, v=view: c.view_changed(v, 0.0)))  # type: ignore[misc]
+        remaining = iter(policies[1:])
+        applying.append(cpu_ms(lambda c=core, r=remaining: c.policy_accepted(next(r), _home, 0.0)))  # type: ignore[misc]
+        viewing.append(cpu_ms(lambda c=core, v=view: c.view_changed(v, 0.0)))  # type: ignore[misc]
         table = LookupTable(policies[-1], view, core.rule)
-        lookups.append(timed(lambda t=table: _all_lookups(t), 1))  # type: ignore[misc]
-    show("policy of 490 sites, kB", "kB", ENTRIES, sizes, FULL_ENTRIES)
-    show("policy: check and compile, ms", "ms", ENTRIES, parsing, FULL_ENTRIES)
-    show("policy: put in force in the core, ms", "ms", ENTRIES, taking, FULL_ENTRIES)
-    show("members changed: core, ms", "ms", ENTRIES, viewing, FULL_ENTRIES)
-    show("members changed: every look-up answer anew, ms", "ms", ENTRIES, lookups, FULL_ENTRIES)
+        lookups.append(cpu_ms(lambda t=table: _look_up_all(t), 1))  # type: ignore[misc]
+    print_row("policy of 490 sites, kB", "kB", ENTRY_COUNTS, sizes, FULL_ENTRIES)
+    print_row("policy: check and compile, ms", "ms", ENTRY_COUNTS, parsing, FULL_ENTRIES)
+    print_row("policy: put in force in the core, ms", "ms", ENTRY_COUNTS, applying, FULL_ENTRIES)
+    print_row("members changed: core, ms", "ms", ENTRY_COUNTS, viewing, FULL_ENTRIES)
+    print_row(
+        "members changed: every look-up answer anew, ms", "ms", ENTRY_COUNTS, lookups, FULL_ENTRIES
+    )
 
 
 def _home(block: int) -> str:
     return "region-0"
 
 
-def _all_lookups(table: LookupTable) -> None:
+def _look_up_all(table: LookupTable) -> None:
     for service in range(fleet.SERVICES):
         for home in HOMES:
             table.answer(f"service-{service}", 0, home, 1e9)
 
 
 def measure_blocks() -> None:
-    """Measure memory and time of the table of client blocks."""
+    """Measure the memory and the times of the table of client blocks."""
     memory, building, finding = [], [], []
-    for blocks in BLOCKS:
+    for blocks in BLOCK_COUNTS:
         step = 2**32 // blocks
         started = time.process_time()
         table = BlockTable.from_runs((n * step, HOMES[n % 11]) for n in range(blocks))
         building.append(time.process_time() - started)
-        memory.append(_held_megabytes(blocks))
-        asked = [random.Random(1).randrange(2**32) for _ in range(20_000)]
-        finding.append(timed(lambda t=table, a=asked: [t.home(b) for b in a]) / 20_000 * 1e3)  # type: ignore[misc]
+        memory.append(_table_megabytes(blocks))
+        lookups = [random.Random(1).randrange(2**32) for _ in range(20_000)]
+        finding.append(cpu_ms(lambda t=table, a=lookups: [t.home(b) for b in a]) / 20_000 * 1e3)  # type: ignore[misc]
         del table
-    show("blocks, MB", "MB", BLOCKS, memory, FULL_BLOCKS)
-    show("blocks: build from runs, s", "s", BLOCKS, building, FULL_BLOCKS)
-    show("blocks: find one, µs", "µs", BLOCKS, finding, FULL_BLOCKS)
+    print_row("blocks, MB", "MB", BLOCK_COUNTS, memory, FULL_BLOCKS)
+    print_row("blocks: build from runs, s", "s", BLOCK_COUNTS, building, FULL_BLOCKS)
+    print_row("blocks: find one, µs", "µs", BLOCK_COUNTS, finding, FULL_BLOCKS)
 
 
-def _held_megabytes(blocks: int) -> float:
-    """Return the memory of a table, counted by Python's allocator."""
+def _table_megabytes(blocks: int) -> float:
+    """Return the memory of a block table in MB, as traced by tracemalloc."""
     step = 2**32 // blocks
     tracemalloc.start()
     table = BlockTable.from_runs((n * step, HOMES[n % 11]) for n in range(blocks))
-    held = tracemalloc.get_traced_memory()[0] / 1e6
+    memory = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     assert len(table) == blocks
-    return held
+    return memory
 
 
 def measure_planner() -> None:
-    """Measure what the holder of the planner's lease reads and works in one round."""
+    """Measure the reads and the CPU time of one round of the planner's leader."""
     reading, planning = [], []
-    for entries in ENTRIES:
-        policy = compile_policy(parse_policy(json.dumps(fleet.policy_of(entries))), 1)
-        reports = [_load(number) for number in range(entries)]
+    for entries in ENTRY_COUNTS:
+        policy = compile_policy(parse_policy(json.dumps(fleet.make_policy(entries))), 1)
+        reports = [_load_document(number) for number in range(entries)]
         reading.append(sum(len(report.model_dump_json()) for report in reports) / 1e3)
         planner = Planner("steer-1")
         planner.begin_term(1, None, 0.0)
@@ -187,12 +200,12 @@
                 planner.add_report(report, 20.0)
             planner.next_plan(policy, 20.0)
 
-        planning.append(timed(one_round))
-    show("planner: reports read a round, kB", "kB", ENTRIES, reading, FULL_ENTRIES)
-    show("planner: one round, ms", "ms", ENTRIES, planning, FULL_ENTRIES)
+        planning.append(cpu_ms(one_round))
+    print_row("planner: reports read a round, kB", "kB", ENTRY_COUNTS, reading, FULL_ENTRIES)
+    print_row("planner: one round, ms", "ms", ENTRY_COUNTS, planning, FULL_ENTRIES)
 
 
-def _load(number: int) -> LoadDocument:
+def _load_document(number: int) -> LoadDocument:
     service = ServiceLoad(
         demand_by_home={home: 12.345678 for home in HOMES[:3]},
         served=37.654321,
@@ -210,43 +223,45 @@
 
 
 def measure_processes() -> None:
-    """Run real entries that carry nothing, and read what each of them takes."""
-    shares, memory, reads, watches, useful = [], [], [], [], []
-    for count in REAL:
-        found = _run_fleet(count)
-        shares.append(found["share"] * 100)
-        memory.append(found["mb"])
-        reads.append(found["reads"])
-        watches.append(found["watches"])
-        useful.append(found["useful"])
-    show("idle entry, % of a core", "%", REAL, shares, FULL_ENTRIES)
-    show("idle entry, resident MB", "MB", REAL, memory, FULL_ENTRIES)
-    show("store: reads/s of all entries", "/s", REAL, reads, FULL_ENTRIES)
-    show("store: waiting watches of all entries", "", REAL, watches, FULL_ENTRIES)
-    show("a new entry is ready after, s", "s", REAL, useful, FULL_ENTRIES)
+    """Run idle entries as processes, and measure the resources that each uses."""
+    shares, memory, reads, watches, ready_times = [], [], [], [], []
+    for count in PROCESS_COUNTS:
+        measured = _run_fleet(count)
+        shares.append(measured["share"] * 100)
+        memory.append(measured["mb"])
+        reads.append(measured["reads"])
+        watches.append(measured["watches"])
+        ready_times.append(measured["ready_s"])
+    print_row("idle entry, % of a core", "%", PROCESS_COUNTS, shares, FULL_ENTRIES)
+    print_row("idle entry, resident MB", "MB", PROCESS_COUNTS, memory, FULL_ENTRIES)
+    print_row("store: reads/s of all entries", "/s", PROCESS_COUNTS, reads, FULL_ENTRIES)
+    print_row("store: waiting watches of all entries", "", PROCESS_COUNTS, watches, FULL_ENTRIES)
+    print_row("a new entry is ready after, s", "s", PROCESS_COUNTS, ready_times, FULL_ENTRIES)
 
 
 def _processes_policy(entries: int) -> dict[str, Any]:
-    """Return a policy whose entries are in three zones, so that most of them hold no watch."""
-    document = fleet.policy_of(entries)
+    """Return a policy with entries in three zones, so that most of them watch nothing."""
+    document = fleet.make_policy(entries)
     for number in range(entries):
-        document["entries"][f"entry-{number}"]["zone"] = fleet.zone_name(number % REAL_ZONES)
+        document["entries"][f"entry-{number}"]["zone"] = fleet.zone_name(
+            number % PROCESS_ZONE_COUNT
+        )
     return document
 
 
 def _run_fleet(count: int) -> dict[str, float]:
-    """Start a platform and entries, wait until they see one another, and measure while idle."""
+    """Start a platform and entries, wait until they know one another, and measure them idle."""
     with ExitStack() as stack:
         store = free_ports().platform
         stack.enter_context(process("standins.objectapi", "--port", str(store)))
         wait_for_port(store)
-        folder = Path(stack.enter_context(_folder()))
+        folder = Path(stack.enter_context(_temporary_directory()))
         ports = _low_ports(count)
         vms = [
             {
                 "id": f"entry-{n}",
                 "host": fleet.HOST,
-                "zone": fleet.zone_name(n % REAL_ZONES),
+                "zone": fleet.zone_name(n % PROCESS_ZONE_COUNT),
                 "state": "live",
                 "caller_port": p.caller,
                 "forward_port": p.forward,
@@ -259,42 +274,46 @@
         pids = [_start_entry(stack, folder, n, ports[n], store) for n in range(count - 1)]
         for port in ports[:-1]:
             _wait_ready(port.caller, count - 1)
-        time.sleep(SETTLE_S)
-        before, counted, at = [processor_seconds(p) for p in pids], _counters(store), time.time()
-        time.sleep(QUIET_S)
-        passed = time.time() - at
-        used = sum(processor_seconds(p) for p in pids) - sum(before)
-        after = _counters(store)
+        time.sleep(SETTLING_TIME_S)
+        cpu_before, counters_before, at = (
+            [cpu_seconds(p) for p in pids],
+            _counters(store),
+            time.time(),
+        )
+        time.sleep(IDLE_S)
+        elapsed = time.time() - at
+        cpu_used = sum(cpu_seconds(p) for p in pids) - sum(cpu_before)
+        counters_after = _counters(store)
         resident = sum(resident_bytes(p) for p in pids) / len(pids)
         started = time.perf_counter()
         _start_entry(stack, folder, count - 1, ports[-1], store)
         _wait_ready(ports[-1].caller, count)
         return {
-            "share": used / passed / len(pids),
+            "share": cpu_used / elapsed / len(pids),
             "mb": resident / 1e6,
-            "reads": (after.get("reads", 0) - counted.get("reads", 0)) / passed,
-            "watches": after["waiting_watches"],
-            "useful": time.perf_counter() - started,
+            "reads": (counters_after.get("reads", 0) - counters_before.get("reads", 0)) / elapsed,
+            "watches": counters_after["waiting_watches"],
+            "ready_s": time.perf_counter() - started,
         }
 
 
 def _low_ports(count: int) -> list[Ports]:
-    """Return ports below those that the system gives to outgoing connections.
+    """Return ports below the range that the system uses for outgoing connections.
 
-    Among dozens of entries that connect to one another, such a connection would sooner or later
-    take the port of an entry that has not begun yet.
+    Dozens of entries connect to one another, so with ports from that range a connection would
+    sooner or later occupy the port of an entry that has not started yet.
     """
-    found: list[int] = []
-    number = LOWEST_PORT + os.getpid() % 5_000
-    while len(found) < 3 * count:
+    ports: list[int] = []
+    number = MIN_PORT + os.getpid() % 5_000
+    while len(ports) < 3 * count:
         number += 1
         with socket.socket() as probe:
             if probe.connect_ex((fleet.HOST, number)) != 0:
-                found.append(number)
-    return [Ports(0, 0, *found[n : n + 3]) for n in range(0, 3 * count, 3)]
+                ports.append(number)
+    return [Ports(0, 0, *ports[n : n + 3]) for n in range(0, 3 * count, 3)]
 
 
-def _folder() -> Any:
+def _temporary_directory() -> Any:
     import tempfile
 
     return tempfile.TemporaryDirectory()
@@ -304,7 +323,7 @@
     settings = {
         "platform": {"host": fleet.HOST, "port": store},
         "entry_id": f"entry-{number}",
-        "zone": fleet.zone_name(number % REAL_ZONES),
+        "zone": fleet.zone_name(number % PROCESS_ZONE_COUNT),
         "host": fleet.HOST,
         "caller_port": ports.caller,
         "forward_port": ports.forward,
@@ -313,7 +332,9 @@
     }
     file = folder / f"entry-{number}.json"
     file.write_text(json.dumps(settings))
-    entry = stack.enter_context(process("briarspur.entry", "--settings", str(file), at_once=True))
+    entry = stack.enter_context(
+        process("briarspur.entry", "--settings", str(file), kill_on_exit=True)
+    )
     return entry.pid
 
 
@@ -343,19 +364,19 @@
 
 
 def _get(port: int, path: str) -> dict[str, Any]:
-    with urllib.request.urlopen(f"http://{fleet.HOST}:{port}{path}", timeout=5) as answer:
-        found: dict[str, Any] = json.loads(answer.read())
-        return found
+    with urllib.request.urlopen(f"http://{fleet.HOST}:{port}{path}", timeout=5) as response:
+        document: dict[str, Any] = json.loads(response.read())
+        return document
 
 
 def _counters(store: int) -> dict[str, Any]:
-    found = _get(store, "/control")
-    counters: dict[str, Any] = found.get("counts", found)
+    control = _get(store, "/control")
+    counters: dict[str, Any] = control.get("counts", control)
     return counters
 
 
 def _wait_ready(port: int, count: int) -> None:
-    """Wait until an entry is ready and sees all others."""
+    """Wait until an entry is ready and knows all others."""
     for _ in range(1_200):
         try:
             status = _get(port, "/status")
@@ -364,23 +385,23 @@
         except OSError:
             pass
         time.sleep(0.05)
-    raise SystemExit(f"the entry on port {port} does not see {count} entries")
+    raise SystemExit(f"the entry on port {port} does not know {count} entries")
 
 
 def main() -> int:
-    """Measure everything, or the parts named as arguments."""
-    parts = {
+    """Run all measurements, or those named as arguments."""
+    measurements = {
         "heartbeats": measure_heartbeats,
         "changes": measure_changes,
         "blocks": measure_blocks,
         "planner": measure_planner,
         "processes": measure_processes,
     }
-    print(f"{os.cpu_count()} cores, plain loop {plain_loop():.2f} s")
+    print(f"{os.cpu_count()} cores, plain loop {loop_time():.2f} s")
     print("| What | Measured | Fit | Residual | At 1,700 entries, 4 M blocks |")
     print("|---|---|---|---|---|")
-    for name in sys.argv[1:] or parts:
-        parts[name]()
+    for name in sys.argv[1:] or measurements:
+        measurements[name]()
     print(f"watches of the store held: {fleet.watching_members(FULL_ENTRIES)} at 1,700 entries")
     return 0
 
