--- a/tools/experiment.py
+++ b/tools/experiment.py
@@ -1,7 +1,7 @@
-"""Measure the chosen way of giving out targets against simpler ones, over real processes.
+"""Compare the selection of targets with simpler alternatives, in real processes.
 
-Each cell is one system under one load. The rows of a table come from one run of this program, so
-that their ratios hold on whatever machine ran it.
+Each cell is one system under one load. All rows of a table come from one run of this program, so
+that their ratios are valid whatever the speed of the machine.
 """
 
 import argparse
@@ -21,21 +21,22 @@
 from standins.launcher import Launcher
 from standins.system import System, until
 
-MEDIAN_MS = 100.0
-"""Service time of small requests: slow enough that one machine can fill every slot."""
+SERVICE_MEDIAN_MS = 100.0
+"""Service time of small requests, slow enough that one machine can occupy every slot."""
 
 CALLER_BLOCKS = 120
-"""Of each region. A block has one first entry, so a few blocks load entries unevenly by chance."""
+"""Client blocks per region. All callers of a block prefer the same entry, so with few blocks the
+load of the entries is uneven by chance."""
 
 DOWNLOAD_BYTES = 500_000
-DOWNLOAD_LOAD = 0.2
+DOWNLOAD_LOAD_SHARE = 0.2
 WARM_UP_S = 4.0
 LOSS_AFTER_S = 3.0
-LOSS_LOAD = 0.8
-CALLERS_END_S = 120.0
-DOWNLOADS = {"charts", "plans"}
-KEYED = {"bookings", "ordering"}
-LOADS = (0.5, 0.8, 0.95, 1.3)
+LOSS_LOAD_SHARE = 0.8
+MAX_CALLERS_END_S = 120.0
+DOWNLOAD_SERVICES = {"charts", "plans"}
+KEYED_SERVICES = {"bookings", "ordering"}
+LOAD_SHARES = (0.5, 0.8, 0.95, 1.3)
 LOSSES = ("entry", "zone", "region")
 HEADER = (
     "| way | load | lost | goodput of capacity | refused | p50 ms | p99 ms | shed by targets "
@@ -45,15 +46,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One row: what ran, and what it showed.
+    """One row of the table: the configuration and its results.
 
     Attributes
     ----------
     target_peak, region_peak : float
-        Highest in-flight count over slots, or over the region's limit, of any target or region.
+        Highest ratio of the in-flight count to the slots of a target, or to the limit of a region.
     """
 
-    way: str
+    alternative: str
     load: float
     lost: str
     goodput: float
@@ -67,9 +68,9 @@
     doubled: int
 
     def row(self) -> str:
-        """Return the row of the table."""
+        """Format the cell as a row of the table."""
         return (
-            f"| {self.way} | {self.load:.0%} | {self.lost} | {self.goodput:.1%}"
+            f"| {self.alternative} | {self.load:.0%} | {self.lost} | {self.goodput:.1%}"
             f" | {self.refused:.2%} | {self.p50:.0f} | {self.p99:.0f} | {self.shed}"
             f" | {self.target_peak:.2f} | {self.region_peak:.2f} | {self.not_final}"
             f" | {self.doubled} |"
@@ -77,50 +78,52 @@
 
 
 class Experiment:
-    """One system under one way, and the cells measured on it."""
+    """Measures cells on one system that runs one alternative."""
 
-    def __init__(self, system: System, way: Alternative, seconds: float, repeats: int) -> None:
+    def __init__(
+        self, system: System, alternative: Alternative, seconds: float, repeats: int
+    ) -> None:
         self._system = system
-        self._way = way
+        self._alternative = alternative
         self._seconds = seconds
         self._repeats = repeats
-        self._capacity_by_service = capacities(system.deployment)
+        self._capacity_by_service = compute_capacities(system.deployment)
 
     def measure(self, load: float, lost: str = "none") -> Cell:
-        """Run one cell after a warm-up that is not counted."""
+        """Measure one cell, after a warm-up that is not counted."""
         system = self._system
         loads = self._loads(load)
         system.start_callers(WARM_UP_S, loads)
-        system.finish_callers(CALLERS_END_S)
+        system.finish_callers(MAX_CALLERS_END_S)
         system.forget_callers()
         system.switch_target("*", reset_peaks=True)
         system.start_callers(self._seconds, loads)
         if lost != "none":
-            self._lose(lost)
-        report = system.finish_callers(CALLERS_END_S)
-        self._explain(report)
+            self._inject_loss(lost)
+        report = system.finish_callers(MAX_CALLERS_END_S)
+        self._print_details(report)
         return self._cell(load, lost, report)
 
-    def _explain(self, report: Report) -> None:
-        """Show on standard error which codes and latencies each service had."""
+    def _print_details(self, report: Report) -> None:
+        """Print the result codes and latencies of each service to standard error."""
         for load, codes in report.codes_by_load.items():
-            tail = ", ".join(f"p{p} {report.milliseconds(load, p):.0f}" for p in (50, 90, 99))
-            print(f"  {load}: {dict(codes)}, ms: {tail}", file=sys.stderr, flush=True)
+            latencies = ", ".join(f"p{p} {report.milliseconds(load, p):.0f}" for p in (50, 90, 99))
+            print(f"  {load}: {dict(codes)}, ms: {latencies}", file=sys.stderr, flush=True)
 
     def _loads(self, share: float) -> list[Load]:
-        """Return the loads of each region's callers at a share of the capacity."""
+        """Return the loads of the callers of each region, at a share of the capacity."""
         regions = len(self._system.deployment.standins.caller_networks_by_region)
         loads = []
         for service, capacity in self._capacity_by_service.items():
-            download = service in DOWNLOADS
+            download = service in DOWNLOAD_SERVICES
             loads.append(
                 Load(
                     name=service,
                     service=service,
                     path=f"/{service}/x",
-                    method="POST" if service in KEYED else "GET",
-                    keyed=service in KEYED,
-                    per_s=capacity * (DOWNLOAD_LOAD if download else share) / regions,
+                    method="POST" if service in KEYED_SERVICES else "GET",
+                    keyed=service in KEYED_SERVICES,
+                    per_s=capacity * (DOWNLOAD_LOAD_SHARE if download else share) / regions,
                     download_bytes=DOWNLOAD_BYTES if download else 0,
                     patience_s=30.0 if download else 10.0,
                     repeats=self._repeats,
@@ -128,13 +131,18 @@
             )
         return loads
 
-    def _lose(self, lost: str) -> None:
-        """Kill an entry, the entries of a zone, or a region with its backend servers."""
+    def _inject_loss(self, lost: str) -> None:
+        """Kill an entry, all entries of a zone, or all entries and backend servers of a region."""
         system = self._system
         until(lambda: system.callers_running() != [], "callers")
-        mark = system.total("started")
-        small = sum(c for s, c in self._capacity_by_service.items() if s not in DOWNLOADS)
-        until(lambda: system.total("started") > mark + small * LOSS_AFTER_S / 2, "load")
+        started_before = system.total("started")
+        small_capacity = sum(
+            c for s, c in self._capacity_by_service.items() if s not in DOWNLOAD_SERVICES
+        )
+        until(
+            lambda: system.total("started") > started_before + small_capacity * LOSS_AFTER_S / 2,
+            "load",
+        )
         policy = system.deployment.policy()
         region = next(iter(policy.regions))
         zone = policy.regions[region].zones[0]
@@ -149,13 +157,15 @@
             system.lose_backends(region)
 
     def _cell(self, load: float, lost: str, report: Report) -> Cell:
-        small = [s for s in self._capacity_by_service if s not in DOWNLOADS]
-        answered = sum(report.total(Outcome.ANSWERED, service) for service in small)
-        calls = sum(sum(report.outcomes_by_load.get(s, {}).values()) for s in small)
-        refused = sum(report.total(Outcome.REFUSED, service) for service in small)
-        capacity = sum(self._capacity_by_service[service] for service in small) * self._seconds
+        small_services = [s for s in self._capacity_by_service if s not in DOWNLOAD_SERVICES]
+        answered = sum(report.total(Outcome.ANSWERED, service) for service in small_services)
+        calls = sum(sum(report.outcomes_by_load.get(s, {}).values()) for s in small_services)
+        refused = sum(report.total(Outcome.REFUSED, service) for service in small_services)
+        capacity = (
+            sum(self._capacity_by_service[service] for service in small_services) * self._seconds
+        )
         total = Report()
-        for service in small:
+        for service in small_services:
             if service in report.histograms_by_load:
                 total.histograms_by_load.setdefault("all", report.histograms_by_load[service])
                 if total.histograms_by_load["all"] is not report.histograms_by_load[service]:
@@ -164,7 +174,7 @@
         policy = self._system.deployment.policy()
         verdict = judge(report, ledgers)
         return Cell(
-            way=self._way.value,
+            alternative=self._alternative.value,
             load=load,
             lost=lost,
             goodput=answered / capacity,
@@ -187,23 +197,25 @@
         )
 
 
-def capacities(deployment: Deployment) -> dict[str, float]:
-    """Return requests a second that all slots of each service can run, by service."""
+def compute_capacities(deployment: Deployment) -> dict[str, float]:
+    """Return the requests per second that all slots of a service can run, by service."""
     policy = deployment.policy()
-    found: dict[str, float] = {}
+    capacity_by_service: dict[str, float] = {}
     for target in policy.targets.values():
         time = deployment.standins.times_by_service[target.service]
         seconds = time.median_ms / 1000 * math.exp(time.sigma**2 / 2)
-        if target.service in DOWNLOADS:
+        if target.service in DOWNLOAD_SERVICES:
             seconds += DOWNLOAD_BYTES / time.bytes_per_s
-        found[target.service] = found.get(target.service, 0.0) + target.slots / seconds
-    return found
+        capacity_by_service[target.service] = (
+            capacity_by_service.get(target.service, 0.0) + target.slots / seconds
+        )
+    return capacity_by_service
 
 
-def slowed(deployment: Deployment) -> Deployment:
-    """Return the deployment with the service times of experiments."""
+def with_slow_services(deployment: Deployment) -> Deployment:
+    """Return the deployment with the service times and caller blocks of the experiment."""
     times = {
-        service: time.model_copy(update={"median_ms": MEDIAN_MS})
+        service: time.model_copy(update={"median_ms": SERVICE_MEDIAN_MS})
         for service, time in deployment.standins.times_by_service.items()
     }
     changes = {"times_by_service": times, "caller_blocks": CALLER_BLOCKS}
@@ -211,43 +223,57 @@
     return Deployment(deployment.folder, deployment.documents_by_name, standins)
 
 
-def with_system(
-    arguments: argparse.Namespace, way: Alternative, work: Callable[[Experiment], Iterator[Cell]]
+def measure_system(
+    arguments: argparse.Namespace,
+    alternative: Alternative,
+    work: Callable[[Experiment], Iterator[Cell]],
 ) -> None:
-    """Start a system for ``way``, run ``work`` on it, and show each cell as it ends."""
+    """Start a system with an alternative, run ``work`` on it and print each cell as it ends."""
     with tempfile.TemporaryDirectory(prefix="briarspur-experiment-") as folder:
-        deployment = slowed(Deployment.load(arguments.deployment, Path(folder)))
+        deployment = with_slow_services(Deployment.load(arguments.deployment, Path(folder)))
         with Launcher(Path(folder)) as launcher:
             system = System(deployment, launcher, entry_module="standins.trialentry")
             for entry_id in system.entry_ids:
                 settings = deployment.documents_by_name[entry_id]
-                deployment.write(entry_id, {**settings, "alternative": way.value})
+                deployment.write(entry_id, {**settings, "alternative": alternative.value})
             system.start()
-            experiment = Experiment(system, way, arguments.seconds, arguments.repeats)
+            experiment = Experiment(system, alternative, arguments.seconds, arguments.repeats)
             for cell in work(experiment):
                 print(cell.row(), flush=True)
 
 
 def main() -> None:
-    """Measure the cells that the arguments choose."""
+    """Measure the cells selected by the arguments."""
     parser = argparse.ArgumentParser(prog="experiment", description=__doc__)
     parser.add_argument("--deployment", choices=["iroise", "holzwerk"], default="iroise")
-    parser.add_argument("--seconds", type=float, default=12.0, help="of load for each cell")
-    parser.add_argument("--ways", nargs="*", default=[way.value for way in Alternative])
-    parser.add_argument("--loads", nargs="*", type=float, default=list(LOADS))
+    parser.add_argument(
+        "--seconds", type=float, default=12.0, help="duration of the load of each cell"
+    )
+    parser.add_argument(
+        "--ways", nargs="*", default=[alternative.value for alternative in Alternative]
+    )
+    parser.add_argument("--loads", nargs="*", type=float, default=list(LOAD_SHARES))
     parser.add_argument("--losses", nargs="*", choices=LOSSES, default=[])
-    parser.add_argument("--repeats", type=int, default=0, help="of a refused call by its caller")
+    parser.add_argument(
+        "--repeats", type=int, default=0, help="how often a caller repeats a refused call"
+    )
     arguments = parser.parse_args()
     print(f"{arguments.deployment}, {arguments.seconds:.0f} s a cell, {os.cpu_count()} cores")
     print(HEADER)
     print("|" + " --- |" * HEADER.count(" | ") + " --- |")
-    ways = [Alternative(way) for way in arguments.ways]
-    random.Random(1).shuffle(ways)
-    for way in ways:
+    alternatives = [Alternative(name) for name in arguments.ways]
+    random.Random(1).shuffle(alternatives)
+    for alternative in alternatives:
         if arguments.loads:
-            with_system(arguments, way, lambda e: (e.measure(load) for load in arguments.loads))
+            measure_system(
+                arguments, alternative, lambda e: (e.measure(load) for load in arguments.loads)
+            )
         for lost in arguments.losses:
-            with_system(arguments, way, lambda e, lost=lost: iter([e.measure(LOSS_LOAD, lost)]))  # type: ignore[misc]
+            measure_system(
+                arguments,
+                alternative,
+                lambda e, lost=lost: iter([e.measure(LOSS_LOAD_SHARE, lost)]),  # type: ignore[misc]
+            )
 
 
 if __name__ == "__main__":
