--- a/standins/caller.py
+++ b/standins/caller.py
@@ -21,7 +21,7 @@
 from standins.callersettings import Address, CallerSettings, Load
 from standins.callhttp import CallHttp, Got
 from standins.callreport import Fate, Outcome, Report
-from standins.content import download_etag, small_answer
+from standins.content import download_etag, small_body
 
 __all__ = ["Caller", "main"]
 
@@ -291,7 +291,7 @@
     if call.load.download_bytes:
         right = download_etag(call.path).strip('"')
         return got.size == call.load.download_bytes and got.digest == right
-    return got.body == small_answer(call.path, call.key)
+    return got.body == small_body(call.path, call.key)
 
 
 def main() -> None:
--- a/standins/targetmodel.py
+++ b/standins/targetmodel.py
@@ -1,4 +1,4 @@
-"""How a stand-in backend server behaves: its settings, its warmth and its counts."""
+"""Settings, cold-start model and counters of stand-in backend servers."""
 
 import random
 from dataclasses import asdict, dataclass, field
@@ -21,7 +21,7 @@
 
 
 class ServiceTime(Document):
-    """How long requests take, and how a cold target is slower."""
+    """Distribution of service times, and how much slower a cold target is."""
 
     median_ms: float = Field(default=20.0, ge=0.0)
     sigma: float = Field(default=0.3, ge=0.0, description="of the logarithm")
@@ -33,7 +33,7 @@
 
 
 class TargetSettings(Document):
-    """One hosted target."""
+    """One target that the process hosts."""
 
     target_id: str
     host: str
@@ -46,7 +46,7 @@
 
 
 class Delays(Document):
-    """One-way delays in ms; entries are known by their addresses."""
+    """One-way delays in ms; entries are identified by their addresses."""
 
     zones_by_host: dict[str, str] = Field(default={}, description="zone of each entry's address")
     regions_by_zone: dict[str, str] = Field(default={})
@@ -55,7 +55,7 @@
     between_regions_ms: float = Field(default=0.0, ge=0.0)
 
     def to_zone(self, host: str, zone: str) -> float:
-        """Return the delay from the entry at ``host``; an address that is not known is near."""
+        """Return the delay from the entry at ``host``; unknown addresses count as the same zone."""
         entry_zone = self.zones_by_host.get(host, zone)
         if entry_zone == zone:
             return 0.0
@@ -69,7 +69,10 @@
 
 
 class BackendSettings(Document):
-    """A process that hosts targets; a region's targets in one process give its exact peak."""
+    """A process that hosts targets.
+
+    Hosting all targets of a region in one process makes the peak of the region exact.
+    """
 
     host: str = "127.0.0.1"
     control_port: int
@@ -82,7 +85,7 @@
 
 
 class TargetSwitches(Document):
-    """What ``POST /control`` may set for a target, or for all of them."""
+    """Settings that ``POST /control`` can change for one target or for all."""
 
     draining: bool = False
     slow_factor: float = Field(default=1.0, gt=0.0)
@@ -94,30 +97,30 @@
 
 @dataclass(slots=True)
 class Warmth:
-    """The cold-start curve: slow at first, by requests served and idle time."""
+    """Cold-start curve: a target speeds up with requests served and slows down when idle."""
 
     time: ServiceTime
     served: float = 0.0
     last: float = 0.0
 
     def factor(self, now: float) -> float:
-        """Return how much slower than warm a request that begins now is."""
+        """Return the service time of a request that starts now, relative to a warm target."""
         if self.last:
             self.served *= 0.5 ** ((now - self.last) / self.time.half_warmth_s)
-        cold = max(0.0, 1.0 - self.served / self.time.warm_after)
+        coldness = max(0.0, 1.0 - self.served / self.time.warm_after)
         self.served = min(self.served + 1, self.time.warm_after * 2.0)
         self.last = now
-        return 1.0 + (self.time.cold_factor - 1.0) * cold
+        return 1.0 + (self.time.cold_factor - 1.0) * coldness
 
     def seconds(self, now: float, rng: random.Random) -> float:
-        """Return the service time of a request that begins now."""
+        """Return the service time of a request that starts now."""
         warm_ms = self.time.median_ms * rng.lognormvariate(0.0, self.time.sigma)
         return warm_ms * self.factor(now) / 1000
 
 
 @dataclass(slots=True)
 class Counts:
-    """What one target, or one region, saw."""
+    """Counters of one target or one region."""
 
     in_flight: int = 0
     peak_in_flight: int = 0
@@ -134,19 +137,19 @@
     peak_connections: int = 0
 
     def start(self) -> None:
-        """Count a request that begins to run."""
+        """Count a request that starts to run."""
         self.started += 1
         self.in_flight += 1
         self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
 
     def end(self) -> None:
-        """Count a request that runs no more."""
+        """Count a request that stopped running."""
         self.in_flight -= 1
 
 
 @dataclass(slots=True)
 class Ledger:
-    """What was recorded; doubled runs show, because nothing is deduplicated here."""
+    """Record of runs; duplicate runs are visible because nothing is deduplicated here."""
 
     runs_by_key: dict[str, list[str]] = field(default_factory=dict)
     starts_by_key: dict[str, list[str]] = field(default_factory=dict)
@@ -155,15 +158,15 @@
     counts_by_region: dict[str, Counts] = field(default_factory=dict)
 
     def record(self, key: str, target_id: str) -> None:
-        """Record one booking."""
+        """Record that a target ran the booking with this key."""
         self.runs_by_key.setdefault(key, []).append(target_id)
 
     def reset_peaks(self) -> None:
-        """Begin to measure peaks anew, and counts of what was shed."""
+        """Restart the peaks from the current load, and the counts of shed requests from zero."""
         for counts in (*self.counts_by_target.values(), *self.counts_by_region.values()):
             counts.peak_in_flight = counts.in_flight
             counts.shed = 0
 
     def document(self) -> dict[str, Any]:
-        """Return the ledger as JSON."""
+        """Return the ledger as a JSON document."""
         return asdict(self)
--- a/standins/targetrun.py
+++ b/standins/targetrun.py
@@ -1,4 +1,4 @@
-"""One request at a stand-in backend server, from the slot it takes to its answer."""
+"""Execution of one request at a stand-in backend server."""
 
 import re
 from collections.abc import Callable
@@ -6,19 +6,19 @@
 
 from twisted.web.server import Request
 
-from standins.content import download_etag, download_part, download_size, small_answer
+from standins.content import download_etag, download_part, download_size, small_body
 
 if TYPE_CHECKING:
     from standins.backend import Target
 
-__all__ = ["Run", "abort", "header", "travel"]
+__all__ = ["Run", "abort", "header", "call_after_delay"]
 
-PACE_S = 0.02
+SEND_INTERVAL_S = 0.02
 RANGE = re.compile(r"bytes=(\d+)-(\d*)")
 
 
 class Run:
-    """One request that occupies a slot, from its start to its answer or its end without one."""
+    """One request that occupies a slot until it is answered, cancelled or expired."""
 
     def __init__(self, target: "Target", request: Request) -> None:
         self.target = target
@@ -31,62 +31,62 @@
         request.notifyFinish().addErrback(lambda _: self.cancel())
 
     def start(self) -> None:
-        """Occupy the slot until the service time has passed."""
+        """Occupy a slot for the service time, or until the deadline if that is earlier."""
         self.target.begin_run(self)
         seconds = self.target.work_seconds()
-        left_ms = header(self.request, b"request-timeout-ms")
-        if left_ms and left_ms.isdigit() and int(left_ms) / 1000 < seconds:
-            self.timer = _reactor().callLater(int(left_ms) / 1000, self.expire)
+        timeout_ms = header(self.request, b"request-timeout-ms")
+        if timeout_ms and timeout_ms.isdigit() and int(timeout_ms) / 1000 < seconds:
+            self.timer = _reactor().callLater(int(timeout_ms) / 1000, self.expire)
         else:
             self.timer = _reactor().callLater(seconds, self.answer)
 
     def cancel(self) -> None:
-        """Stop the work and free the slot, because the caller has gone."""
+        """Stop the work and release the slot, because the caller disconnected."""
         if not self.running:
             return
         self.target.counts.cancelled += 1
-        self._free()
+        self._release_slot()
 
     def expire(self) -> None:
-        """Stop the work and record nothing, because the deadline has come."""
+        """Stop the work without recording it, because the deadline passed; answer 504."""
         self.target.counts.expired += 1
-        self._free()
+        self._release_slot()
         self.request.setResponseCode(504)
-        self.target.mark(self.request)
+        self.target.add_headers(self.request)
         self.request.setHeader(b"content-length", b"0")
-        travel(self.delay, self.request, self.request.finish)
+        call_after_delay(self.delay, self.request, self.request.finish)
 
     def answer(self) -> None:
-        """End the work: record a booking first, then answer."""
+        """Finish the work: record a booking first, then answer."""
         if self.key and self.request.method == b"POST":
             self.target.backend.ledger.record(self.key, self.target.settings.target_id)
         self.target.counts.ended += 1
-        if self.target.spend_switch("lose_answers"):
-            self._free()
-            travel(self.delay, self.request, lambda: abort(self.request))
+        if self.target.consume_fault("lose_answers"):
+            self._release_slot()
+            call_after_delay(self.delay, self.request, lambda: abort(self.request))
             return
-        self.target.mark(self.request)
+        self.target.add_headers(self.request)
         size = download_size(self.path)
         if size is None:
-            self._free()
-            travel(self.delay, self.request, self._answer_small)
+            self._release_slot()
+            call_after_delay(self.delay, self.request, self._answer_small)
         else:
             self._answer_download(size)
 
     def _answer_small(self) -> None:
-        body = small_answer(self.path, self.key)
+        body = small_body(self.path, self.key)
         self.request.setHeader(b"content-type", b"application/json")
         self.request.setHeader(b"content-length", str(len(body)).encode())
-        if self.target.spend_switch("cut_answers"):
+        if self.target.consume_fault("cut_answers"):
             self.request.write(body[: len(body) // 2])
-            _reactor().callLater(PACE_S, abort, self.request)
+            _reactor().callLater(SEND_INTERVAL_S, abort, self.request)
             return
         if self.request.method != b"HEAD":
             self.request.write(body)
         self.request.finish()
 
     def _answer_download(self, size: int) -> None:
-        """Send the content, or the part a Range with a fitting If-Range asks for."""
+        """Send the content, or the requested range if If-Range matches."""
         etag = download_etag(self.path)
         start, end = _range(self.request, size, etag)
         if (start, end) != (0, size):
@@ -96,27 +96,29 @@
         self.request.setHeader(b"accept-ranges", b"bytes")
         self.request.setHeader(b"content-type", b"application/octet-stream")
         self.request.setHeader(b"content-length", str(end - start).encode())
-        cut_at = (start + end) // 2 if self.target.spend_switch("cut_answers") else None
-        travel(self.delay, self.request, lambda: self._send(start, end, cut_at))
+        truncate_at = (start + end) // 2 if self.target.consume_fault("cut_answers") else None
+        call_after_delay(self.delay, self.request, lambda: self._send(start, end, truncate_at))
 
-    def _send(self, at: int, end: int, cut_at: int | None) -> None:
-        """Send one step of a paced download; it holds its slot until the last byte."""
+    def _send(self, at: int, end: int, truncate_at: int | None) -> None:
+        """Send one step of a paced download; the slot is occupied until the last byte."""
         if not self.running:
             return
-        if cut_at is not None and at >= cut_at:
+        if truncate_at is not None and at >= truncate_at:
             abort(self.request)
             return
-        step = max(1, int(self.target.time.bytes_per_s * PACE_S))
+        step = max(1, int(self.target.service_time.bytes_per_s * SEND_INTERVAL_S))
         part = download_part(self.path, at, min(end, at + step))
         self.target.counts.bytes_sent += len(part)
         self.request.write(part)
         if at + len(part) < end:
-            self.timer = _reactor().callLater(PACE_S, self._send, at + len(part), end, cut_at)
+            self.timer = _reactor().callLater(
+                SEND_INTERVAL_S, self._send, at + len(part), end, truncate_at
+            )
             return
         self.request.finish()
-        self._free()
+        self._release_slot()
 
-    def _free(self) -> None:
+    def _release_slot(self) -> None:
         if not self.running:
             return
         self.running = False
@@ -126,7 +128,7 @@
 
 
 def _range(request: Request, size: int, etag: str) -> tuple[int, int]:
-    """Return the first byte and the one after the last that the request asks for."""
+    """Return the requested range as start and exclusive end; the whole if none applies."""
     matched = RANGE.fullmatch(header(request, b"range") or "")
     condition = header(request, b"if-range")
     if not matched or (condition and condition != etag) or int(matched[1]) >= size:
@@ -135,27 +137,27 @@
     return int(matched[1]), min(end, size)
 
 
-def travel(delay: float, request: Request, then: Callable[[], None]) -> None:
-    """Go on after the way between entry and target, unless the connection has gone meanwhile."""
+def call_after_delay(delay: float, request: Request, callback: Callable[[], None]) -> None:
+    """Call ``callback`` after a network delay, unless the request disconnects meanwhile."""
     if delay <= 0:
-        then()
+        callback()
         return
 
-    def arrived() -> None:
+    def delay_passed() -> None:
         if request.transport and not request._disconnected:
-            then()
+            callback()
 
-    _reactor().callLater(delay, arrived)
+    _reactor().callLater(delay, delay_passed)
 
 
 def header(request: Request, name: bytes) -> str | None:
-    """Return a header of a request, None if it has none."""
+    """Return a header of a request, or None if it is absent."""
     value = request.getHeader(name)
     return value.decode("latin-1") if value is not None else None
 
 
 def abort(request: Request) -> None:
-    """Cut the connection of a request, unless its caller has gone."""
+    """Abort the connection of a request unless it is already closed."""
     if request.transport:
         request.transport.abortConnection()
 
--- a/tests/standins/test_backend.py
+++ b/tests/standins/test_backend.py
@@ -1,4 +1,4 @@
-"""The ledger shows doubled runs, and a backend server's answers can be checked whole."""
+"""Stand-in backend servers: the ledger, the cold-start model and the response bodies."""
 
 import asyncio
 import hashlib
@@ -14,9 +14,9 @@
 
 
 class WarmthTest(unittest.TestCase):
-    """A cold target is slow at first, and is cold again after idle time."""
+    """A cold target is slow at first, and becomes cold again when idle."""
 
-    def test_curve(self) -> None:
+    def test_warm_up_and_cool_down(self) -> None:
         warmth = Warmth(ServiceTime(cold_factor=5.0, warm_after=10, half_warmth_s=1.0))
         self.assertEqual(warmth.factor(1.0), 5.0)
         for _ in range(30):
@@ -24,25 +24,25 @@
         self.assertEqual(warmth.factor(1.0), 1.0)
         self.assertGreater(warmth.factor(101.0), 4.9)
 
-    def test_service_time_is_seeded(self) -> None:
+    def test_service_time_depends_only_on_the_seed(self) -> None:
         warmth = Warmth(ServiceTime(cold_factor=1.0))
         first = warmth.seconds(0.0, random.Random(3))
         self.assertEqual(first, warmth.seconds(0.0, random.Random(3)))
 
 
 class ContentTest(unittest.TestCase):
-    """Parts of a download join to the content that its ETag names."""
+    """The parts of a download form the content whose digest is its ETag."""
 
-    def test_parts_join(self) -> None:
+    def test_parts_concatenate_to_the_content(self) -> None:
         path = "/charts/pack?bytes=200000"
-        whole = download_part(path, 0, 200_000)
+        content = download_part(path, 0, 200_000)
         joined = download_part(path, 0, 70_001) + download_part(path, 70_001, 200_000)
-        self.assertEqual(whole, joined)
-        self.assertEqual(download_etag(path), f'"{hashlib.sha256(whole).hexdigest()}"')
+        self.assertEqual(content, joined)
+        self.assertEqual(download_etag(path), f'"{hashlib.sha256(content).hexdigest()}"')
 
 
 class BackendTest(unittest.TestCase):
-    """One target, spoken to directly."""
+    """One target that is called without an entry."""
 
     def test_a_key_run_twice_is_recorded_twice(self) -> None:
         async def work(target: Any, call: Callable[..., Awaitable[Any]]) -> None:
@@ -52,7 +52,7 @@
 
         run(with_target(work))
 
-    def test_a_full_target_sheds_and_says_so(self) -> None:
+    def test_a_full_target_sheds_with_request_not_run(self) -> None:
         async def work(target: Any, call: Callable[..., Awaitable[Any]]) -> None:
             answers = await asyncio.gather(*(call(b"GET", f"/times/{n}") for n in range(3)))
             shed = [headers for status, headers, _ in answers if status == 503]
@@ -62,7 +62,7 @@
 
         run(with_target(work))
 
-    def test_a_poison_request_takes_its_neighbours_with_it(self) -> None:
+    def test_a_poison_request_aborts_concurrent_requests(self) -> None:
         async def work(target: Any, call: Callable[..., Awaitable[Any]]) -> None:
             ends = await asyncio.gather(
                 call(b"POST", "/booking/", {b"Idempotency-Key": b"key-0001"}),
@@ -77,14 +77,14 @@
 
         run(with_target(work))
 
-    def test_a_range_is_answered_only_for_the_same_content(self) -> None:
+    def test_a_range_is_served_only_if_if_range_matches(self) -> None:
         async def work(target: Any, call: Callable[..., Awaitable[Any]]) -> None:
             path = "/charts/pack?bytes=100000"
             etag = download_etag(path).encode()
-            asked = {b"Range": b"bytes=90000-"}
-            status, _, body = await call(b"GET", path, {**asked, b"If-Range": etag})
+            range_header = {b"Range": b"bytes=90000-"}
+            status, _, body = await call(b"GET", path, {**range_header, b"If-Range": etag})
             self.assertEqual((status, body), (206, download_part(path, 90_000, 100_000)))
-            status, _, body = await call(b"GET", path, {**asked, b"If-Range": b'"old"'})
+            status, _, body = await call(b"GET", path, {**range_header, b"If-Range": b'"old"'})
             self.assertEqual((status, len(body)), (200, 100_000))
 
         run(with_target(work))
@@ -93,7 +93,7 @@
 async def with_target(
     work: Callable[[Any, Callable[..., Awaitable[Any]]], Awaitable[None]],
 ) -> None:
-    """Run ``work`` with a target of two slots and a function that calls it."""
+    """Run ``work`` with a target that has two slots, and a function that calls the target."""
     from twisted.internet import reactor
     from twisted.web.client import Agent, HTTPConnectionPool, readBody
     from twisted.web.http_headers import Headers
