--- a/standins/callhttp.py
+++ b/standins/callhttp.py
@@ -1,4 +1,4 @@
-"""The caller's HTTP: kept connections from an address of its own, bodies digested as they come."""
+"""HTTP client of the stand-in caller: persistent connections, and a digest of each body."""
 
 import asyncio
 import hashlib
@@ -13,25 +13,25 @@
 
 from briarspur.endpoints import IPEndpointFactory
 
-__all__ = ["CallHttp", "Got"]
+__all__ = ["CallHttp", "CallResponse"]
 
 CONNECT_TIMEOUT_S = 2.0
-KEPT_CONNECTIONS = 256
-KEPT_BODY = 65_536
+MAX_IDLE_CONNECTIONS = 256
+MAX_KEPT_BODY_BYTES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
-class Got:
-    """An answer read to its end.
+class CallResponse:
+    """A response that was read to its end.
 
     Attributes
     ----------
     body : bytes
-        The first ``KEPT_BODY`` bytes.
+        The first ``MAX_KEPT_BODY_BYTES`` bytes.
     size, digest : int, str
-        Length and SHA-256 of the whole body.
-    whole : bool
-        It ended as its headers said.
+        Length and SHA-256 of the complete body.
+    complete : bool
+        The body ended as its headers announced.
     """
 
     status: int
@@ -39,16 +39,16 @@
     body: bytes
     size: int
     digest: str
-    whole: bool
+    complete: bool
 
     def header(self, name: bytes) -> str | None:
-        """Return a header's last value."""
+        """Return the last value of a header, or None if it is absent."""
         values = self.headers.getRawHeaders(name)
         return values[-1].decode("latin-1") if values else None
 
 
 class _Reader(Protocol):
-    """Digests a body; its Deferred fires with whether the body is whole."""
+    """Digests a body; ``done`` fires with whether the body is complete."""
 
     def __init__(self) -> None:
         self.done: Deferred[bool] = Deferred(lambda _: self._abort())
@@ -59,8 +59,8 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         self.size += len(data)
         self.digest.update(data)
-        if len(self.kept) < KEPT_BODY:
-            self.kept += data[: KEPT_BODY - len(self.kept)]
+        if len(self.kept) < MAX_KEPT_BODY_BYTES:
+            self.kept += data[: MAX_KEPT_BODY_BYTES - len(self.kept)]
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
         if not self.done.called:
@@ -73,21 +73,21 @@
 
 
 class CallHttp:
-    """Sends requests; owns its kept connections."""
+    """HTTP client that sends from one address and owns its persistent connections."""
 
     def __init__(self, host: str) -> None:
         from twisted.internet import reactor
 
         self._pool = HTTPConnectionPool(reactor, persistent=True)
-        self._pool.maxPersistentPerHost = KEPT_CONNECTIONS
+        self._pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
         self._pool.cachedConnectionTimeout = 20
         self._pool.retryAutomatically = False
-        # The address tells briarspur the caller's block.
+        # Entries derive the caller's block from its address.
         endpoints = IPEndpointFactory(cast(Any, reactor), CONNECT_TIMEOUT_S, host)
         self._agent = Agent.usingEndpointFactory(reactor, endpoints, pool=self._pool)
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         await self._pool.closeCachedConnections().asFuture(asyncio.get_running_loop())
 
     async def call(
@@ -95,27 +95,29 @@
         method: str,
         url: str,
         headers: dict[str, str],
-        patience: float,
-        seen: Callable[[], None] = lambda: None,
-    ) -> Got:
-        """Send a request and read its answer; ``seen`` is called once its head is there.
+        timeout: float,
+        on_headers: Callable[[], None] = lambda: None,
+    ) -> CallResponse:
+        """Send a request and read the response; call ``on_headers`` once its headers arrived.
 
         Raises
         ------
         TimeoutError
-            No whole answer came within ``patience`` seconds.
+            No complete response arrived within ``timeout`` seconds.
         Exception
-            The connection could not be made or broke before the head of an answer.
+            The connection failed, or broke before the headers of a response.
         """
         loop = asyncio.get_running_loop()
-        sent = Headers({name.encode(): [value.encode()] for name, value in headers.items()})
-        async with asyncio.timeout(patience):
-            response: Any = await self._agent.request(method.encode(), url.encode(), sent).asFuture(
-                loop
-            )
-            seen()
+        header_lines = Headers({name.encode(): [value.encode()] for name, value in headers.items()})
+        async with asyncio.timeout(timeout):
+            response: Any = await self._agent.request(
+                method.encode(), url.encode(), header_lines
+            ).asFuture(loop)
+            on_headers()
             reader = _Reader()
             response.deliverBody(reader)
-            whole = await reader.done.asFuture(loop)
+            complete = await reader.done.asFuture(loop)
         digest = reader.digest.hexdigest()
-        return Got(response.code, response.headers, bytes(reader.kept), reader.size, digest, whole)
+        return CallResponse(
+            response.code, response.headers, bytes(reader.kept), reader.size, digest, complete
+        )
--- a/standins/callreport.py
+++ b/standins/callreport.py
@@ -1,4 +1,4 @@
-"""What callers saw: final answers, latency histograms, and the fate of each booking's key."""
+"""Results of callers: final answers, latency histograms and the outcome of each booking."""
 
 import json
 from collections import Counter
@@ -9,10 +9,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-__all__ = ["Fate", "Outcome", "Report", "Verdict", "judge", "new_histogram"]
+__all__ = ["Fate", "Outcome", "Report", "Verdict", "check_bookings", "new_histogram"]
 
-HIGHEST_US = 120_000_000
-DIGITS = 3
+MAX_LATENCY_US = 120_000_000
+SIGNIFICANT_DIGITS = 3
 
 
 class Outcome(Enum):
@@ -27,7 +27,7 @@
 
 
 class Fate(Enum):
-    """What a caller believes of its booking."""
+    """Whether a booking ran, as far as its caller knows."""
 
     CONFIRMED = "confirmed"
     NOT_RUN = "not run"
@@ -36,25 +36,25 @@
 
 def new_histogram() -> Any:
     """Return an empty histogram of microseconds."""
-    return HdrHistogram(1, HIGHEST_US, DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 @dataclass(slots=True)
 class Report:
-    """One caller's counts, or the sum of several.
+    """Counts of one caller process, or the sum of several.
 
     Attributes
     ----------
     codes_by_load : dict of str to Counter
         Final answers by result code; 0 counts calls without one.
     attempt_codes : Counter
-        Every answer, those that were repeated included.
+        Answers to all attempts by result code, including attempts that were retried.
     fates_by_key : dict of str to str
         Value of :class:`Fate` for each key.
     histories : list of str
-        The attempts of calls that were not answered, the first of each process.
+        The attempts of calls that were not answered; a process keeps only its first ones.
     repeated_calls : int
-        Calls that took more than one attempt.
+        Calls that needed more than one attempt.
     """
 
     codes_by_load: dict[str, Counter[str]] = field(default_factory=dict)
@@ -66,38 +66,38 @@
     lookups: int = 0
     repeated_calls: int = 0
 
-    def answered(self, load: str, seconds: float) -> None:
-        """Record the latency of a whole answer."""
+    def record_latency(self, load: str, seconds: float) -> None:
+        """Record the latency of a complete answer."""
         histogram = self.histograms_by_load.setdefault(load, new_histogram())
-        histogram.record_value(min(HIGHEST_US, max(1, int(seconds * 1_000_000))))
+        histogram.record_value(min(MAX_LATENCY_US, max(1, int(seconds * 1_000_000))))
 
-    def final(self, load: str, code: int, outcome: Outcome) -> None:
+    def count_final(self, load: str, code: int, outcome: Outcome) -> None:
         """Count how a call ended."""
         self.codes_by_load.setdefault(load, Counter())[str(code)] += 1
         self.outcomes_by_load.setdefault(load, Counter())[outcome.value] += 1
 
-    def unfinished(self) -> list[str]:
+    def failed_histories(self) -> list[str]:
         """Return the histories of calls without a final answer, or with a wrong one."""
-        bad = (Outcome.NONE.value, Outcome.WRONG.value)
-        return [history for history in self.histories if history.startswith(bad)]
+        prefixes = (Outcome.NONE.value, Outcome.WRONG.value)
+        return [history for history in self.histories if history.startswith(prefixes)]
 
     def total(self, outcome: Outcome, load: str | None = None) -> int:
-        """Return how many calls ended so."""
+        """Return how many calls had this outcome, of one load or of all."""
         counters = self.outcomes_by_load
         return sum(c[outcome.value] for name, c in counters.items() if load in (None, name))
 
     def calls(self) -> int:
-        """Return how many calls ended in any way."""
+        """Return how many calls ended, whatever their outcome."""
         return sum(sum(c.values()) for c in self.outcomes_by_load.values())
 
     def add(self, other: Self) -> None:
         """Add another caller's counts."""
-        for mine, theirs in (
+        for own, added in (
             (self.codes_by_load, other.codes_by_load),
             (self.outcomes_by_load, other.outcomes_by_load),
         ):
-            for load, counter in theirs.items():
-                mine.setdefault(load, Counter()).update(counter)
+            for load, counter in added.items():
+                own.setdefault(load, Counter()).update(counter)
         for load, histogram in other.histograms_by_load.items():
             self.histograms_by_load.setdefault(load, new_histogram()).add(histogram)
         self.attempt_codes.update(other.attempt_codes)
@@ -106,8 +106,8 @@
         self.lookups += other.lookups
         self.repeated_calls += other.repeated_calls
 
-    def milliseconds(self, load: str, percentile: float) -> float:
-        """Return a percentile of the latency of whole answers; 0 if there was none."""
+    def latency_ms(self, load: str, percentile: float) -> float:
+        """Return a percentile of the latency of complete answers in ms; 0 without answers."""
         histogram = self.histograms_by_load.get(load)
         if histogram is None:
             return 0.0
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What the ledgers say of the callers' bookings; each list names keys."""
+    """Comparison of the ledgers with the callers' bookings; each list holds keys."""
 
     recorded: int
     confirmed: int
@@ -147,16 +147,16 @@
     run_though_refused: list[str]
 
     @property
-    def holds(self) -> bool:
-        """Whether nothing was lost, doubled or run though refused."""
+    def is_ok(self) -> bool:
+        """Whether no booking was lost, run twice, or run although it was refused."""
         return not (self.doubled or self.lost or self.run_though_refused)
 
 
-def judge(report: Report, ledgers: Iterable[dict[str, Any]]) -> Verdict:
-    """Compare what callers were told with what the backend servers recorded.
+def check_bookings(report: Report, ledgers: Iterable[dict[str, Any]]) -> Verdict:
+    """Compare the outcomes that callers received with the runs that backend servers recorded.
 
-    A key's runs are counted over all ledgers, because two targets in two processes may each have
-    run it once.
+    The runs of a key are summed over all ledgers, because two targets in different processes may
+    each have run it once.
     """
     runs: Counter[str] = Counter()
     for ledger in ledgers:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -13,7 +13,7 @@
 
 from briarspur.codes import Code
 from briarspur.objects import VmState
-from standins.callreport import Outcome, Report, Verdict, judge
+from standins.callreport import Outcome, Report, Verdict, check_bookings
 from standins.deployment import Deployment
 from standins.launcher import Launcher
 from standins.system import NotReadyError, System, until
@@ -120,7 +120,7 @@
     stop_entry(system, events)
     _show_until(system, began + seconds)
     report = system.finish_callers(CALLERS_END_S)
-    verdict = judge(report, system.wait_idle())
+    verdict = check_bookings(report, system.wait_idle())
     check_drained(system, drained, started, events)
     print()
     print_tables(system, report, verdict)
@@ -149,7 +149,7 @@
     for outcome in (Outcome.NONE, Outcome.WRONG):
         if count := report.total(outcome):
             faults.append(f"{count} calls: {outcome.value}")
-    return faults + report.unfinished()[:10]
+    return faults + report.failed_histories()[:10]
 
 
 def _broken(verdict: Verdict) -> list[tuple[str, list[str]]]:
@@ -171,7 +171,7 @@
     print("latency of whole answers, ms, repeats included")
     print(f"  {'service':<12}{'answers':>9}{'p50':>9}{'p90':>9}{'p99':>9}")
     for load in report.outcomes_by_load:
-        row = "".join(f"{report.milliseconds(load, p):>9.1f}" for p in (50, 90, 99))
+        row = "".join(f"{report.latency_ms(load, p):>9.1f}" for p in (50, 90, 99))
         print(f"  {load:<12}{report.total(Outcome.ANSWERED, load):>9}{row}")
     print(f"bookings: {verdict.recorded} recorded, {verdict.confirmed} confirmed")
     print("peaks in flight against limits")
--- a/tests/stories/small.py
+++ b/tests/stories/small.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from standins.callersettings import Load
-from standins.callreport import Outcome, Report, judge
+from standins.callreport import Outcome, Report, check_bookings
 from standins.deployment import Deployment
 from standins.launcher import Launcher
 from standins.system import System
@@ -126,7 +126,7 @@
     def finish(self, system: System) -> Report:
         """Check that nothing was doubled or lost, no region overloaded, every caller answered."""
         report = system.finish_callers(CALLERS_END_S)
-        verdict = judge(report, system.wait_idle())
+        verdict = check_bookings(report, system.wait_idle())
         self.assertEqual(verdict.doubled, [])
         self.assertEqual(verdict.lost, [])
         self.assertEqual(verdict.run_though_refused, [])
@@ -135,6 +135,6 @@
         for ledger in system.ledgers():
             for region, counts in ledger["counts_by_region"].items():
                 self.assertLessEqual(counts["peak_in_flight"], limits[region].in_flight_limit)
-        self.assertEqual(report.total(Outcome.NONE), 0, report.unfinished()[:3])
-        self.assertEqual(report.total(Outcome.WRONG), 0, report.unfinished()[:3])
+        self.assertEqual(report.total(Outcome.NONE), 0, report.failed_histories()[:3])
+        self.assertEqual(report.total(Outcome.WRONG), 0, report.failed_histories()[:3])
         return report
--- a/tools/experiment.py
+++ b/tools/experiment.py
@@ -16,7 +16,7 @@
 
 from standins.alternatives import Alternative
 from standins.callersettings import Load
-from standins.callreport import Outcome, Report, judge
+from standins.callreport import Outcome, Report, check_bookings
 from standins.deployment import Deployment
 from standins.launcher import Launcher
 from standins.system import System, until
@@ -104,7 +104,7 @@
     def _explain(self, report: Report) -> None:
         """Show on standard error which codes and latencies each service had."""
         for load, codes in report.codes_by_load.items():
-            tail = ", ".join(f"p{p} {report.milliseconds(load, p):.0f}" for p in (50, 90, 99))
+            tail = ", ".join(f"p{p} {report.latency_ms(load, p):.0f}" for p in (50, 90, 99))
             print(f"  {load}: {dict(codes)}, ms: {tail}", file=sys.stderr, flush=True)
 
     def _loads(self, share: float) -> list[Load]:
@@ -162,15 +162,15 @@
                     total.histograms_by_load["all"].add(report.histograms_by_load[service])
         ledgers = self._system.ledgers()
         policy = self._system.deployment.policy()
-        verdict = judge(report, ledgers)
+        verdict = check_bookings(report, ledgers)
         return Cell(
             way=self._way.value,
             load=load,
             lost=lost,
             goodput=answered / capacity,
             refused=refused / max(1, calls),
-            p50=total.milliseconds("all", 50),
-            p99=total.milliseconds("all", 99),
+            p50=total.latency_ms("all", 50),
+            p99=total.latency_ms("all", 99),
             shed=sum(c["shed"] for item in ledgers for c in item["counts_by_target"].values()),
             target_peak=max(
                 c["peak_in_flight"] / policy.targets[target_id].slots
