--- a/standins/bodies.py
+++ b/standins/bodies.py
@@ -1,4 +1,4 @@
-"""JSON bodies for Twisted's client."""
+"""JSON request bodies for Twisted's HTTP client."""
 
 import json
 from typing import Any
@@ -12,7 +12,7 @@
 
 @implementer(IBodyProducer)
 class JsonBody:
-    """A document as a request's body."""
+    """A request body that holds a JSON document."""
 
     def __init__(self, document: object) -> None:
         self._body = json.dumps(document).encode()
@@ -24,10 +24,10 @@
         return succeed(None)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Do nothing: all is written."""
+        """Do nothing, because the body is written at once."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Do nothing: all is written."""
+        """Do nothing, because the body is written at once."""
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: all is written."""
+        """Do nothing, because the body is written at once."""
--- a/standins/objectapi.py
+++ b/standins/objectapi.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: its calls by the published protocol, and its troubles."""
+"""A stand-in for the platform's store: the calls of its published protocol, and fault injection."""
 
 import argparse
 import base64
@@ -17,7 +17,7 @@
 from briarspur.processsettings import PlatformSettings
 from standins import serving
 from standins.objectstate import CallError, Objects
-from standins.rate import Rate
+from standins.rate import RateLimit
 
 __all__ = ["ObjectApi", "ObjectSwitches", "main"]
 
@@ -25,21 +25,29 @@
 
 
 class ObjectSwitches(Document):
-    """What ``POST /control`` may set."""
+    """Settings that ``POST /control`` can change."""
 
     outage: Literal["none", "busy", "reset", "silent"] = "none"
-    only_hosts: list[str] = Field(default=[], description="callers that the outage is for; all")
+    only_hosts: list[str] = Field(
+        default=[], description="callers that the outage affects; empty for all"
+    )
     slow_s: float = Field(default=0.0, ge=0.0)
-    lose_answers: int = Field(default=0, ge=0, description="next writes done and not answered")
-    late_s: float = Field(default=0.0, ge=0.0, description="lost writes are done so much later")
+    lose_answers: int = Field(
+        default=0, ge=0, description="number of next writes that are applied but not answered"
+    )
+    late_s: float = Field(
+        default=0.0, ge=0.0, description="delay before unanswered writes are applied"
+    )
     reads_per_s: float = Field(default=2_000.0, gt=0.0)
     writes_per_s: float = Field(default=400.0, gt=0.0)
-    stale_s: float = Field(default=0.0, ge=0.0, description="reads show what was so long ago")
-    vm_lag_s: float = Field(default=0.0, ge=0.0, description="a change of the VMs shows so late")
+    stale_s: float = Field(default=0.0, ge=0.0, description="age of the state that reads return")
+    vm_lag_s: float = Field(
+        default=0.0, ge=0.0, description="delay before a change of the VM list is visible"
+    )
 
 
 class ObjectApi(Resource):
-    """The HTTP interface; state ends with the process."""
+    """The HTTP interface; the state is kept in memory only."""
 
     isLeaf = True  # noqa: N815
 
@@ -48,11 +56,11 @@
         self.objects = Objects()
         self.switches = ObjectSwitches()
         self.calls: dict[str, int] = defaultdict(int)
-        self._rates = {False: Rate(2_000.0), True: Rate(400.0)}
-        self._waiting: dict[Request, tuple[str, int]] = {}
+        self._rate_limits = {False: RateLimit(2_000.0), True: RateLimit(400.0)}
+        self._watches: dict[Request, tuple[str, int]] = {}
 
     def render(self, request: Request) -> int:
-        """Answer a call, now or later."""
+        """Answer a call, immediately or later."""
         try:
             self._serve(request)
         except CallError as error:
@@ -60,17 +68,19 @@
         return NOT_DONE_YET
 
     def control(self, changes: dict[str, Any]) -> None:
-        """Change switches; an outage cuts or silences the watches that wait."""
+        """Change switches; an outage aborts or silences the open watches."""
         if changes.pop("forget", False):
-            self.objects.forget()
-            self._wake(all_kinds=True)
+            self.objects.drop_history()
+            self._answer_watches(all_kinds=True)
         vms = changes.pop("vms", None)
         self.switches = ObjectSwitches.model_validate({**self.switches.model_dump(), **changes})
         per_s_by_kind = {False: self.switches.reads_per_s, True: self.switches.writes_per_s}
-        self._rates = {writes: Rate(per_s, per_s) for writes, per_s in per_s_by_kind.items()}
-        for request in list(self._waiting):
-            if self._is_out(request):
-                del self._waiting[request]
+        self._rate_limits = {
+            writes: RateLimit(per_s, per_s) for writes, per_s in per_s_by_kind.items()
+        }
+        for request in list(self._watches):
+            if self._in_outage(request):
+                del self._watches[request]
                 if self.switches.outage != "silent":
                     cast(Any, request.transport).abortConnection()
         if vms is not None and self.switches.vm_lag_s:
@@ -79,7 +89,7 @@
             self.set_vms(vms)
 
     def set_vms(self, rows: list[dict[str, Any]]) -> None:
-        """Write the list of VMs, whole."""
+        """Replace the list of VMs."""
         kind, _ = kind_and_name(VMS_PREFIX)
         by_name = {row["id"]: row for row in rows}
         for name in set(self.objects.by_kind[kind]) - set(by_name):
@@ -91,13 +101,13 @@
                 self.objects.replace(kind, name, body)
             else:
                 self.objects.create(kind, body)
-        self._wake()
+        self._answer_watches()
 
     def write(self, method: bytes, path: str, body: dict[str, Any]) -> Any:
-        """Make a write as an operator or a backend server would; for tests."""
-        done = self._write(method, path.strip("/").split("/")[1:], body, {})
-        self._wake()
-        return done
+        """Write as an operator or a backend server would; for tests."""
+        result = self._write(method, path.strip("/").split("/")[1:], body, {})
+        self._answer_watches()
+        return result
 
     def _serve(self, request: Request) -> None:
         path = unquote(request.path.decode()).strip("/").split("/")
@@ -117,30 +127,32 @@
         self.calls["writes" if writes else "reads"] += 1
         self.calls[path[1]] += 1
         self.calls["old_reads"] += not writes and _query(request).get("allowStale") == "1"
-        if self._is_out(request):
-            self._refuse(request)
+        if self._in_outage(request):
+            self._fail(request)
             return
-        if not self._rates[writes].take(_reactor().seconds()):
+        if not self._rate_limits[writes].acquire(_reactor().seconds()):
             raise CallError(429)
         body = _content(request)
         if self.switches.slow_s:
-            _reactor().callLater(self.switches.slow_s, self._later, request, path[1:], body)
+            _reactor().callLater(
+                self.switches.slow_s, self._answer_delayed, request, path[1:], body
+            )
         else:
             self._answer(request, path[1:], body)
 
-    def _later(self, request: Request, path: list[str], body: bytes) -> None:
+    def _answer_delayed(self, request: Request, path: list[str], body: bytes) -> None:
         try:
             self._answer(request, path, body)
         except CallError as error:
             serving.send_json(request, error.body, error.status)
 
-    def _is_out(self, request: Request) -> bool:
+    def _in_outage(self, request: Request) -> bool:
         if self.switches.outage == "none":
             return False
         hosts = self.switches.only_hosts
         return not hosts or cast(Any, request).getClientAddress().host in hosts
 
-    def _refuse(self, request: Request) -> None:
+    def _fail(self, request: Request) -> None:
         if self.switches.outage == "busy":
             raise CallError(503)
         if self.switches.outage == "reset":
@@ -152,28 +164,28 @@
             return
         document = json.loads(body) if body else {}
         if self.switches.lose_answers:
-            left = self.switches.lose_answers - 1
-            self.switches = self.switches.model_copy(update={"lose_answers": left})
+            remaining = self.switches.lose_answers - 1
+            self.switches = self.switches.model_copy(update={"lose_answers": remaining})
             _reactor().callLater(
                 self.switches.late_s,
-                self._write_unseen,
+                self._write_unanswered,
                 request.method,
                 path,
                 document,
                 _query(request),
             )
             return
-        done = self._write(request.method, path, document, _query(request))
-        self._wake()
-        serving.send_json(request, done)
+        result = self._write(request.method, path, document, _query(request))
+        self._answer_watches()
+        serving.send_json(request, result)
 
-    def _write_unseen(self, *call: Any) -> None:
+    def _write_unanswered(self, *call: Any) -> None:
         try:
             self._write(*call)
         except CallError:
-            # Nobody hears of it: that is what the switch is for.
+            # The error is dropped because the switch leaves the write without an answer.
             return
-        self._wake()
+        self._answer_watches()
 
     def _write(
         self, method: bytes, path: list[str], body: dict[str, Any], query: dict[str, str]
@@ -206,28 +218,28 @@
         if wait <= 0.0 or self.objects.events(path[0], since):
             self._send_events(request, path[0], since)
             return
-        self._waiting[request] = (path[0], since)
-        timer = _reactor().callLater(wait, self._end_wait, request)
-        request.notifyFinish().addBoth(self._gone, request, timer)
+        self._watches[request] = (path[0], since)
+        timer = _reactor().callLater(wait, self._watch_timed_out, request)
+        request.notifyFinish().addBoth(self._disconnected, request, timer)
 
-    def _end_wait(self, request: Request) -> None:
-        kind, since = self._waiting.pop(request, ("", 0))
+    def _watch_timed_out(self, request: Request) -> None:
+        kind, since = self._watches.pop(request, ("", 0))
         if kind:
             self._send_events(request, kind, since)
 
-    def _gone(self, _: object, request: Request, timer: Any) -> None:
-        self._waiting.pop(request, None)
+    def _disconnected(self, _: object, request: Request, timer: Any) -> None:
+        self._watches.pop(request, None)
         if timer.active():
             timer.cancel()
 
-    def _wake(self, all_kinds: bool = False) -> None:
-        for request, (kind, since) in list(self._waiting.items()):
+    def _answer_watches(self, all_kinds: bool = False) -> None:
+        for request, (kind, since) in list(self._watches.items()):
             try:
-                due = all_kinds or bool(self.objects.events(kind, since))
+                must_answer = all_kinds or bool(self.objects.events(kind, since))
             except CallError:
-                due = True
-            if due:
-                del self._waiting[request]
+                must_answer = True
+            if must_answer:
+                del self._watches[request]
                 self._send_events(request, kind, since)
 
     def _send_events(self, request: Request, kind: str, since: int) -> None:
--- a/standins/objectstate.py
+++ b/standins/objectstate.py
@@ -1,4 +1,4 @@
-"""What the stand-in for the platform's store keeps: objects, revisions and the latest changes."""
+"""State of the stand-in for the platform's store: objects, revisions and recent changes."""
 
 import time
 from collections import defaultdict
@@ -6,16 +6,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-__all__ = ["PAGE", "CallError", "Change", "Objects"]
+__all__ = ["PAGE_SIZE", "CallError", "Change", "Objects"]
 
-PAGE = 50
-"""Objects in one answer to a list."""
-HISTORY = 2_000
-"""Changes that can be watched from; earlier ones are forgotten."""
+PAGE_SIZE = 50
+"""Maximum number of objects in one response to a list call."""
+MAX_CHANGES = 2_000
+"""A watch can start at any of the latest changes; earlier ones are dropped."""
 
 
 class CallError(Exception):
-    """A call that is answered with a status of its own."""
+    """An error response to a call, with its HTTP status."""
 
     def __init__(self, status: int, body: object = None) -> None:
         super().__init__(status)
@@ -36,45 +36,51 @@
 
 @dataclass(slots=True)
 class Objects:
-    """Objects by kind and name, and the latest changes."""
+    """Objects by kind and name, and the recent changes.
+
+    Attributes
+    ----------
+    dropped_through : int
+        Revision of the latest change that is no longer in ``changes``.
+    """
 
     revision: int = 1
     by_kind: dict[str, dict[str, dict[str, Any]]] = field(default_factory=lambda: defaultdict(dict))
     changes: list[Change] = field(default_factory=list)
-    forgotten: int = 0
+    dropped_through: int = 0
     clock: Callable[[], float] = time.monotonic
 
-    def page(self, kind: str, after: str, stale: float = 0.0) -> dict[str, Any]:
-        """Return a page of a kind's objects, as they were ``stale`` seconds ago."""
-        by_name = self._as_of(kind, stale)
+    def page(self, kind: str, after: str, stale_s: float = 0.0) -> dict[str, Any]:
+        """Return a page of the objects of a kind, as they were ``stale_s`` seconds ago."""
+        by_name = self._as_of(kind, stale_s)
         names = sorted(name for name in by_name if name > after)
         return {
-            "items": [by_name[name] for name in names[:PAGE]],
-            "hasMore": len(names) > PAGE,
+            "items": [by_name[name] for name in names[:PAGE_SIZE]],
+            "hasMore": len(names) > PAGE_SIZE,
             "storeRevision": self.revision,
         }
 
-    def get(self, kind: str, name: str, stale: float = 0.0) -> dict[str, Any]:
-        """Return an object, as it was ``stale`` seconds ago."""
-        found = self._as_of(kind, stale).get(name)
+    def get(self, kind: str, name: str, stale_s: float = 0.0) -> dict[str, Any]:
+        """Return an object, as it was ``stale_s`` seconds ago."""
+        found = self._as_of(kind, stale_s).get(name)
         if found is None:
             raise CallError(404)
         return found
 
     def history(self, kind: str, name: str) -> list[Any]:
-        """Return the latest values of an object, the oldest first."""
+        """Return the recent values of an object, oldest first."""
         return [
             change.item["spec"]
             for change in self.changes
             if change.kind == kind and not change.deleted and _name(change.item) == name
         ]
 
-    def _as_of(self, kind: str, stale: float) -> dict[str, dict[str, Any]]:
-        if not stale:
+    def _as_of(self, kind: str, stale_s: float) -> dict[str, dict[str, Any]]:
+        if not stale_s:
             return self.by_kind[kind]
         found: dict[str, dict[str, Any]] = {}
         for change in self.changes:
-            if change.kind != kind or change.at > self.clock() - stale:
+            if change.kind != kind or change.at > self.clock() - stale_s:
                 continue
             found.pop(_name(change.item), None)
             if not change.deleted:
@@ -82,8 +88,8 @@
         return found
 
     def events(self, kind: str, since: int) -> list[dict[str, Any]]:
-        """Return a kind's changes after a revision."""
-        if since < self.forgotten:
+        """Return the changes of a kind after a revision."""
+        if since < self.dropped_through:
             raise CallError(410)
         return [
             {"deleted": change.deleted, "object": change.item}
@@ -107,7 +113,7 @@
         """Replace the spec and finalizers, or the status, of an object."""
         old = self.get(kind, name)
         metadata = body.get("metadata", {})
-        self.check(old, metadata.get("revision"))
+        self.check_revision(old, metadata.get("revision"))
         finalizers = metadata.get("finalizers", old["metadata"]["finalizers"])
         if status:
             new = (old["spec"], body.get("status"), old["metadata"]["finalizers"])
@@ -121,23 +127,23 @@
         return stored
 
     def delete(self, kind: str, name: str, revision: int | None) -> None:
-        """Delete an object, or mark it while it has finalizers."""
+        """Delete an object; if it has finalizers, only mark it for deletion."""
         old = self.get(kind, name)
-        self.check(old, revision)
+        self.check_revision(old, revision)
         if not old["metadata"]["finalizers"]:
             self._remove(kind, name)
             return
         marked = {**old["metadata"], "deletionPending": True}
         self._store(kind, name, old["spec"], old["status"], marked["finalizers"], marked)
 
-    def forget(self) -> None:
-        """Drop the history."""
+    def drop_history(self) -> None:
+        """Drop all recorded changes, so that older watches fail."""
         self.changes.clear()
-        self.forgotten = self.revision
+        self.dropped_through = self.revision
 
     @staticmethod
-    def check(old: dict[str, Any], revision: int | None) -> None:
-        """Refuse a call that expects another revision."""
+    def check_revision(old: dict[str, Any], revision: int | None) -> None:
+        """Raise a conflict if the call expects another revision."""
         if revision is not None and revision != old["metadata"]["revision"]:
             raise CallError(409, old)
 
@@ -160,19 +166,19 @@
         }
         item = {"metadata": metadata, "spec": spec, "status": status}
         self.by_kind[kind][name] = item
-        self._note(kind, False, item)
+        self._record_change(kind, False, item)
         return item
 
     def _remove(self, kind: str, name: str) -> None:
         self.revision += 1
         item = self.by_kind[kind].pop(name)
         item = {**item, "metadata": {**item["metadata"], "revision": self.revision}}
-        self._note(kind, True, item)
+        self._record_change(kind, True, item)
 
-    def _note(self, kind: str, deleted: bool, item: dict[str, Any]) -> None:
+    def _record_change(self, kind: str, deleted: bool, item: dict[str, Any]) -> None:
         self.changes.append(Change(self.revision, kind, deleted, item, self.clock()))
-        if len(self.changes) > HISTORY:
-            self.forgotten = self.changes.pop(0).revision
+        if len(self.changes) > MAX_CHANGES:
+            self.dropped_through = self.changes.pop(0).revision
 
 
 def _name(item: dict[str, Any]) -> str:
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""How every stand-in process runs: one asyncio loop, HTTP listeners, an end by SIGTERM."""
+"""Event loop, HTTP listeners and shutdown that all stand-in processes share."""
 
 import asyncio
 import json
@@ -27,7 +27,7 @@
 
 
 def listen(resource: Resource, host: str, port: int) -> Any:
-    """Serve ``resource``; return the listening port."""
+    """Listen for HTTP requests to ``resource``; return the listening port."""
     from twisted.internet import reactor
 
     site = Site(resource)
@@ -36,28 +36,29 @@
 
 
 def run(start: Callable[[], None]) -> None:
-    """Run until SIGTERM or SIGINT; ``start`` is called once the loop runs.
+    """Run until SIGTERM or SIGINT; call ``start`` once the loop runs.
 
-    A fault in ``start`` ends the process, so that a launcher does not wait for it in vain.
+    An exception in ``start`` ends the process; otherwise a launcher would wait for it until the
+    timeout.
     """
     reactor = install_reactor()
-    faults: list[BaseException] = []
+    errors: list[BaseException] = []
 
     def begin() -> None:
         try:
             start()
         except Exception as error:
-            faults.append(error)
+            errors.append(error)
             reactor.stop()
 
     reactor.callWhenRunning(begin)
     reactor.run()
-    if faults:
-        raise faults[0]
+    if errors:
+        raise errors[0]
 
 
 def send_json(request: Request, value: object, status: int = 200) -> None:
-    """Answer ``request`` with a JSON document, unless its caller has gone."""
+    """Answer ``request`` with a JSON document, unless its caller disconnected."""
     if request.transport is None or request._disconnected:
         return
     body = json.dumps(value).encode()
--- a/tests/platform/test_objectstore.py
+++ b/tests/platform/test_objectstore.py
@@ -16,7 +16,7 @@
 from briarspur.processsettings import PlatformSettings
 from briarspur.storecalls import PlatformClient
 from standins.objectapi import ObjectApi
-from standins.objectstate import PAGE
+from standins.objectstate import PAGE_SIZE
 from tests.compat import store_contract
 from tests.loop import LoopTestCase, eventually
 from tests.reactor import run
@@ -92,7 +92,7 @@
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
             version = await store.put("a", b"1", ABSENT)
             watching = asyncio.ensure_future(store.watch("a", version, 30.0))
-            await eventually(lambda: bool(api._waiting))
+            await eventually(lambda: bool(api._watches))
             api.control({"outage": "busy"})
             with self.assertRaises(StoreUnavailableError):
                 await watching
@@ -140,11 +140,11 @@
         """Otherwise the sweep of old claims, part by part, would read all claims for each part."""
 
         async def work(store: PlatformObjectStore, api: ObjectApi) -> None:
-            for number in range(4 * PAGE):
+            for number in range(4 * PAGE_SIZE):
                 await store.put(f"claims/{number % 16:x}{number:04x}", b"", ABSENT)
             api.calls.clear()
             found = await store.list("claims/3")
-            self.assertEqual(4 * PAGE // 16 + 1, len(found))
+            self.assertEqual(4 * PAGE_SIZE // 16 + 1, len(found))
             self.assertEqual(1, api.calls["reads"])
 
         self.run_on_loop(with_api(work))
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -19,7 +19,7 @@
 from briarspur.processsettings import PlatformSettings
 from briarspur.storecalls import PlatformClient
 from standins.objectapi import ObjectApi
-from standins.objectstate import PAGE
+from standins.objectstate import PAGE_SIZE
 from tests.loop import LoopTestCase, eventually, the_reactor
 
 HOST = "127.0.0.1"
@@ -54,10 +54,10 @@
 
     def test_a_list_has_all_pages(self) -> None:
         async def work(store: PlatformStore, api: ObjectApi) -> None:
-            for number in range(2 * PAGE + 7):
+            for number in range(2 * PAGE_SIZE + 7):
                 register_or_renew(api, f"t-{number:03}", seq=number)
             batch = await store.list(Kind.TARGETS)
-            self.assertEqual(2 * PAGE + 7, len(batch.changes))
+            self.assertEqual(2 * PAGE_SIZE + 7, len(batch.changes))
             self.assertTrue(batch.whole)
             self.assertEqual(api.objects.revision, batch.revision)
 
@@ -67,12 +67,12 @@
         """Guards against paying for a fresh read where data of some seconds ago is sufficient."""
 
         async def work(store: PlatformStore, api: ObjectApi) -> None:
-            for number in range(PAGE + 1):
+            for number in range(PAGE_SIZE + 1):
                 register_or_renew(api, f"t-{number:03}", seq=number)
             await store.list(Kind.TARGETS)
             self.assertEqual(0, api.calls["old_reads"])
             batch = await store.list(Kind.TARGETS, may_be_old=True)
-            self.assertEqual(PAGE + 1, len(batch.changes))
+            self.assertEqual(PAGE_SIZE + 1, len(batch.changes))
             self.assertEqual(2, api.calls["old_reads"])
 
         self.with_api(work)
@@ -82,7 +82,7 @@
             register_or_renew(api, "t-1", seq=1)
             revision = (await store.list(Kind.TARGETS)).revision
             waiting = asyncio.ensure_future(store.watch(Kind.TARGETS, revision, 5.0))
-            await eventually(lambda: bool(api._waiting))
+            await eventually(lambda: bool(api._watches))
             register_or_renew(api, "t-1", seq=2)
             batch = await waiting
             self.assertEqual([{"seq": 2}], [change.value for change in batch.changes])
@@ -97,7 +97,7 @@
         async def work(store: PlatformStore, api: ObjectApi) -> None:
             register_or_renew(api, "t-1", seq=1)
             waiting = asyncio.ensure_future(store.watch(Kind.TARGETS, api.objects.revision, 5.0))
-            await eventually(lambda: bool(api._waiting))
+            await eventually(lambda: bool(api._watches))
             register_or_renew(api, "t-2", seq=1)
             await waiting
             api.control({"forget": True})
