--- a/standins/trialentry.py
+++ b/standins/trialentry.py
@@ -1,4 +1,4 @@
-"""An entry that gives out targets by the alternative its settings name; for experiments only."""
+"""An entry that chooses targets by the alternative in its settings; for experiments only."""
 
 import asyncio
 import random
@@ -14,26 +14,26 @@
 from briarspur.node import EntryNode
 from briarspur.policy import Target
 from briarspur.settings import EntrySettings
-from standins.alternatives import Alternative, LaggingLoads, chooser_of, rule_of
+from standins.alternatives import Alternative, DelayedLoads, make_chooser, make_slot_rule
 
 __all__ = ["TrialEntry", "TrialSettings", "main"]
 
-POLL_S = 1.0
+POLL_INTERVAL_S = 1.0
 POLL_TIMEOUT_S = 1.0
 
 
 class TrialSettings(EntrySettings):
-    """Settings of an entry, and the alternative."""
+    """Settings of an entry, plus the alternative to use."""
 
     alternative: Alternative
 
 
 class TrialEntry(EntryDaemon):
-    """An entry whose core has another rule and chooser."""
+    """An entry whose core uses the slot rule and the chooser of an alternative."""
 
     def __init__(self, settings: TrialSettings) -> None:
         alternative = settings.alternative
-        loads = LaggingLoads()
+        loads = DelayedLoads()
 
         class TrialCore(Core):
             def __init__(
@@ -45,8 +45,8 @@
                 now: float,
                 core_settings: CoreSettings | None = None,
             ) -> None:
-                chooser = chooser_of(alternative, rng, loads)
-                rule = rule_of(alternative)
+                chooser = make_chooser(alternative, rng, loads)
+                rule = make_slot_rule(alternative)
                 super().__init__(me, region, incarnation, rng, now, core_settings, rule, chooser)
 
         class TrialNode(EntryNode):
@@ -58,7 +58,7 @@
         super().__init__(settings)
 
     async def start(self) -> None:
-        """Listen, and poll the targets if the alternative needs their reports."""
+        """Start the entry, and poll the targets if the alternative needs their reports."""
         await super().start()
         if self._polls:
             self._start(self._poll())
@@ -69,7 +69,7 @@
         fetcher = HttpFetcher(cast(Any, reactor), POLL_TIMEOUT_S)
         while True:
             await asyncio.gather(*(self._poll_target(fetcher, t) for t in self._targets()))
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _targets(self) -> Sequence[Target]:
         policy = self.node.policy
