--- a/standins/livetarget.py
+++ b/standins/livetarget.py
@@ -1,4 +1,4 @@
-"""Backend servers of the platform's protocol: one process, some targets, a ledger of runs."""
+"""Backend servers that speak the platform's protocol: several per process, with a ledger."""
 
 import argparse
 import json
@@ -20,13 +20,13 @@
 
 __all__ = ["LiveTarget", "main"]
 
-BEAT = 0.5
-QUEUE_SHARE = 2
+REGISTRATION_INTERVAL_S = 0.5
+MAX_QUEUED_PER_SLOT = 2
 
 
 @dataclass(eq=False)
 class LiveTarget(Resource):
-    """One backend server that registers itself and writes down what it runs."""
+    """One backend server, which records arrivals and runs in the ledger."""
 
     target_id: str
     service: str
@@ -38,7 +38,7 @@
     draining: bool = False
     limit_per_s: float | None = None
     leaving: bool = False
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     born: int = field(default_factory=lambda: time.time_ns() // 1_000_000)
     sequence: int = 0
     isLeaf = True  # noqa: N815
@@ -48,15 +48,15 @@
         self._running: dict[Request, Any] = {}
         self._queue: list[Request] = []
 
-    def take(self, item: dict[str, Any]) -> None:
-        """Take what a settings file says of the server and may change."""
+    def apply_settings(self, item: dict[str, Any]) -> None:
+        """Apply the settings that can change while the server runs."""
         self.draining = item["draining"]
         self.limit_per_s = item.get("limit_per_s")
         self.leaving = item.get("leaving", False)
-        self.rest_s = item.get("rest_s", 0.0)
+        self.backoff_s = item.get("rest_s", 0.0)
 
     def spec(self) -> dict[str, Any]:
-        """Return the registration."""
+        """Return the spec of the next registration."""
         self.sequence += 1
         return {
             "service": self.service,
@@ -71,39 +71,39 @@
         }
 
     def render(self, request: Request) -> int:
-        """Run a request, queue it, or turn it away."""
-        self._note("arrival", request)
+        """Run a request, queue it or reject it."""
+        self._write_ledger("arrival", request)
         expected = request.getHeader(b"x-expected-instance")
         if expected is not None and expected != self.target_id.encode():
             _answer(request, 421, {b"X-Instance-Id": self.target_id.encode()})
-        elif self.rest_s > 0.0:
-            self._note("rest", request)
-            self._turn_away(request, {b"Retry-After": b"%.2f" % self.rest_s})
-        elif len(self._queue) >= QUEUE_SHARE * self.slots:
-            self._turn_away(request, {})
+        elif self.backoff_s > 0.0:
+            self._write_ledger("rest", request)
+            self._reject(request, {b"Retry-After": b"%.2f" % self.backoff_s})
+        elif len(self._queue) >= MAX_QUEUED_PER_SLOT * self.slots:
+            self._reject(request, {})
         else:
-            request.notifyFinish().addBoth(self._gone, request)
+            request.notifyFinish().addBoth(self._disconnected, request)
             self._queue.append(request)
-            self._next()
+            self._start_queued()
         return NOT_DONE_YET
 
-    def _next(self) -> None:
+    def _start_queued(self) -> None:
         while self._queue and len(self._running) < self.slots:
             request = self._queue.pop(0)
-            self._note("run", request)
-            self._running[request] = _reactor().callLater(self.work_s, self._done, request)
+            self._write_ledger("run", request)
+            self._running[request] = _reactor().callLater(self.work_s, self._complete, request)
 
-    def _note(self, what: str, request: Request) -> None:
+    def _write_ledger(self, event: str, request: Request) -> None:
         request_id = (request.getHeader(b"x-request-id") or b"").decode()
-        row = {"what": what, "id": request_id, "target": self.target_id, "at": time.time()}
+        row = {"what": event, "id": request_id, "target": self.target_id, "at": time.time()}
         self.ledger.write(json.dumps(row) + "\n")
         self.ledger.flush()
 
-    def _turn_away(self, request: Request, headers: dict[bytes, bytes]) -> None:
+    def _reject(self, request: Request, headers: dict[bytes, bytes]) -> None:
         _answer(request, 503, {b"X-Not-Executed": b"1", **self._notices(), **headers})
 
     def _notices(self) -> dict[bytes, bytes]:
-        """Return what the server says of itself in an answer."""
+        """Return the headers that advertise the server's limit and departure."""
         notices = {}
         if self.limit_per_s is not None:
             notices[b"Server-Limit"] = b"%.2f" % self.limit_per_s
@@ -111,7 +111,7 @@
             notices[b"Server-Leaving"] = b"1"
         return notices
 
-    def _done(self, request: Request) -> None:
+    def _complete(self, request: Request) -> None:
         self._running.pop(request, None)
         request_id = request.getHeader(b"x-request-id") or b""
         headers = {
@@ -120,46 +120,46 @@
             **self._notices(),
         }
         _answer(request, 200, headers, b"body of %b by %b" % (request_id, self.service.encode()))
-        self._next()
+        self._start_queued()
 
-    def _gone(self, _: object, request: Request) -> None:
+    def _disconnected(self, _: object, request: Request) -> None:
         if request in self._queue:
             self._queue.remove(request)
         timer = self._running.pop(request, None)
         if timer is not None and timer.active():
             timer.cancel()
-        self._next()
+        self._start_queued()
 
 
 class Registrar:
-    """Writes the registrations to the store, time and again."""
+    """Writes the registrations to the store periodically."""
 
     def __init__(self, store: str, targets: list[LiveTarget]) -> None:
         self._agent = Agent(_reactor(), connectTimeout=1.0)
         self._base = f"http://{store}/objects/servers"
         self._targets = targets
 
-    def beat(self) -> None:
-        """Renew every registration, and again after a while."""
-        _reactor().callLater(BEAT, self.beat)
+    def renew(self) -> None:
+        """Renew every registration, and schedule the next renewal."""
+        _reactor().callLater(REGISTRATION_INTERVAL_S, self.renew)
         for target in self._targets:
             body = {"metadata": {"name": target.target_id}, "spec": target.spec(), "status": None}
-            self._call(b"PUT", f"/{target.target_id}", body, self._missing(body))
+            self._call(b"PUT", f"/{target.target_id}", body, self._create_if_missing(body))
 
-    def _missing(self, body: dict[str, Any]) -> Callable[[Any], Any]:
+    def _create_if_missing(self, body: dict[str, Any]) -> Callable[[Any], Any]:
         def check(response: Any) -> Any:
             if response.code == 404:
-                self._call(b"POST", "", body, lambda answer: readBody(answer))
+                self._call(b"POST", "", body, lambda response: readBody(response))
             return readBody(response)
 
         return check
 
-    def _call(self, method: bytes, path: str, body: Any, then: Callable[[Any], Any]) -> None:
+    def _call(self, method: bytes, path: str, body: Any, on_response: Callable[[Any], Any]) -> None:
         url = (self._base + path).encode()
         headers = Headers({b"Content-Type": [b"application/json"]})
         sent = self._agent.request(method, url, headers, cast(IBodyProducer, JsonBody(body)))
-        sent.addCallback(then)
-        # A store that is away is part of the trial; the next beat tries again.
+        sent.addCallback(on_response)
+        # Tests make the store unreachable on purpose; the next renewal retries.
         sent.addErrback(lambda failure: None)
 
 
@@ -179,7 +179,7 @@
 
 
 def main() -> None:
-    """Serve the targets of a settings file until the end."""
+    """Serve the targets of a settings file until SIGTERM; reload it on SIGHUP."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--settings", required=True)
     path = Path(parser.parse_args().settings)
@@ -189,7 +189,7 @@
     def reload(*_: object) -> None:
         items = {item["id"]: item for item in json.loads(path.read_text())["targets"]}
         for target in targets:
-            target.take(items[target.target_id])
+            target.apply_settings(items[target.target_id])
 
     def start() -> None:
         ledger = Path(settings["ledger"]).open("a", encoding="utf-8")  # noqa: SIM115
@@ -199,10 +199,10 @@
                 item["id"], item["service"], item["zone"], item["advertised"], ledger
             )
             target.work_s = item.get("work_s", target.work_s)
-            target.take(item)
+            target.apply_settings(item)
             _reactor().listenTCP(item["port"], Site(target), interface=item["host"])
             targets.append(target)
-        Registrar(settings["store"], targets).beat()
+        Registrar(settings["store"], targets).renew()
 
     serving.run(start)
 
