--- a/standins/loopproxy.py
+++ b/standins/loopproxy.py
@@ -1,42 +1,42 @@
-"""A TCP proxy on loopback that harms the connections through it."""
+"""A TCP proxy on loopback that injects faults into its connections."""
 
 import asyncio
 from dataclasses import dataclass
 from types import TracebackType
 from typing import Self
 
-__all__ = ["Harm", "LoopProxy"]
+__all__ = ["Fault", "LoopProxy"]
 
-CHUNK = 65_536
+CHUNK_BYTES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
-class Harm:
-    """What happens to connections.
+class Fault:
+    """Fault to inject into connections.
 
     Attributes
     ----------
     delay : float
-        Seconds by which bytes are late, each way.
-    silent_there, silent_back : bool
-        Bytes of open and new connections get lost that way, without a reset.
+        Seconds by which data is delayed, in each direction.
+    drop_requests, drop_responses : bool
+        Discard data from the client or to the client, without a reset.
     refuse : bool
-        New connections are reset.
+        Reset new connections.
     """
 
     delay: float = 0.0
-    silent_there: bool = False
-    silent_back: bool = False
+    drop_requests: bool = False
+    drop_responses: bool = False
     refuse: bool = False
 
 
 class LoopProxy:
-    """Forwards to one address; a context manager that owns its connections."""
+    """Forwards connections to one address; a context manager that closes them at its end."""
 
     def __init__(self, host: str, port: int, to_host: str, to_port: int) -> None:
         self.address = (host, port)
-        self._to = (to_host, to_port)
-        self.harm = Harm()
+        self._server_address = (to_host, to_port)
+        self.fault = Fault()
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
@@ -62,34 +62,35 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         try:
-            if self.harm.refuse:
+            if self.fault.refuse:
                 writer.transport.abort()
                 return
-            there_reader, there_writer = await asyncio.open_connection(*self._to)
-            self._writers.add(there_writer)
+            server_reader, server_writer = await asyncio.open_connection(*self._server_address)
+            self._writers.add(server_writer)
             try:
                 await asyncio.gather(
-                    self._pump(reader, there_writer, there=True),
-                    self._pump(there_reader, writer, there=False),
+                    self._pump(reader, server_writer, to_server=True),
+                    self._pump(server_reader, writer, to_server=False),
                 )
             finally:
-                self._writers.discard(there_writer)
-                there_writer.transport.abort()
+                self._writers.discard(server_writer)
+                server_writer.transport.abort()
         except (OSError, asyncio.CancelledError):
-            # The other side is down or cut, or the proxy ends; the caller sees its connection end.
+            # The other side is unreachable or was reset, or the proxy ends. The client sees this as
+            # the end of its connection.
             pass
         finally:
             self._writers.discard(writer)
             writer.transport.abort()
 
     async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, there: bool
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, to_server: bool
     ) -> None:
-        while data := await reader.read(CHUNK):
-            if self.harm.delay:
-                await asyncio.sleep(self.harm.delay)
-            lost = self.harm.silent_there if there else self.harm.silent_back
-            if not lost:
+        while data := await reader.read(CHUNK_BYTES):
+            if self.fault.delay:
+                await asyncio.sleep(self.fault.delay)
+            dropped = self.fault.drop_requests if to_server else self.fault.drop_responses
+            if not dropped:
                 writer.write(data)
                 await writer.drain()
         if not writer.is_closing():
--- a/tools/faultsoak.py
+++ b/tools/faultsoak.py
@@ -24,7 +24,7 @@
     sys.path.insert(0, str(ROOT))
 
 from standins.launcher import Launcher  # noqa: E402
-from standins.loopproxy import Harm  # noqa: E402
+from standins.loopproxy import Fault  # noqa: E402
 from tools.soaknotices import NoticeFaults  # noqa: E402
 from tools.soakparts import (  # noqa: E402
     HOST,
@@ -166,19 +166,19 @@
         self._disturb()
         harm = self._rng.choice(
             (
-                Harm(delay=0.15),
-                Harm(silent_there=True),
-                Harm(silent_back=True),
-                Harm(silent_there=True, silent_back=True),
-                Harm(refuse=True),
+                Fault(delay=0.15),
+                Fault(drop_requests=True),
+                Fault(drop_responses=True),
+                Fault(drop_requests=True, drop_responses=True),
+                Fault(refuse=True),
             )
         )
         if self._rng.random() < 0.3:
             proxy.reset()
-        proxy.harm = harm
+        proxy.fault = harm
         await asyncio.sleep(self._rng.uniform(0.3, 3.0))
-        proxy.harm = Harm()
-        if harm.silent_there or harm.silent_back:
+        proxy.fault = Fault()
+        if harm.drop_requests or harm.drop_responses:
             proxy.reset()
         self._disturb()
         self._notices.harmed(name)
