--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,4 +1,4 @@
-"""Ports for processes that tests, demos and experiments start."""
+"""Allocation of free ports for processes that tests, demos and experiments start."""
 
 import os
 import socket
@@ -7,45 +7,45 @@
 
 FIRST_PORT = 16_384
 LAST_PORT = 32_767
-"""Ports below those that the system gives to outgoing connections (32,768 to 60,999 as a rule). One
-of these may be taken by any connection between the choice of the port and its use."""
+"""End of the range below the ephemeral ports (usually 32,768 to 60,999). The kernel may assign an
+ephemeral port to an outgoing connection between its allocation here and its use."""
 BLOCK_PORTS = 128
-"""Ports of a block. Its first one is never handed out: it shows that the block is taken."""
-BLOCKS = (LAST_PORT + 1 - FIRST_PORT) // BLOCK_PORTS
-GUARD_HOST = "127.0.0.1"
+"""Ports per block. The first one is never allocated, because it locks the block."""
+BLOCK_COUNT = (LAST_PORT + 1 - FIRST_PORT) // BLOCK_PORTS
+LOCK_HOST = "127.0.0.1"
 
 
 class PortBlock:
-    """Ports that no other process of this machine gets from here, each of them once.
+    """A block of ports that is reserved for this process; each port is allocated once.
 
-    A datagram socket on the first port of a block shows that the block is taken, for as long as its
-    process runs. So of two runs that start at once neither gets a port that the other one has
-    chosen and does not listen on yet.
+    A datagram socket bound to the first port of the block locks it while the process runs. This
+    keeps two runs that start at the same time from allocating the same port before either listens
+    on it.
     """
 
     def __init__(self) -> None:
-        self._guard, first = _claim_block()
-        self._left = iter(range(first + 1, first + BLOCK_PORTS))
+        self._lock, first = _lock_block()
+        self._unused = iter(range(first + 1, first + BLOCK_PORTS))
 
     def port(self, host: str) -> int | None:
-        """Return the next port that nobody listens on; None if the block is used up."""
-        return next((port for port in self._left if _is_free(host, port)), None)
+        """Return the next port that can be bound, or None if the block is exhausted."""
+        return next((port for port in self._unused if _is_free(host, port)), None)
 
     def close(self) -> None:
-        """Let other processes use the block."""
-        self._guard.close()
+        """Unlock the block for other processes."""
+        self._lock.close()
 
 
 _blocks: list[PortBlock] = []
 
 
 def free_port(host: str) -> int:
-    """Return a port of ``host`` that nobody listens on and that is given to nobody else.
+    """Return a port of ``host`` that is free and not allocated to anyone else.
 
     Raises
     ------
     OSError
-        Other processes have taken all blocks.
+        Other processes have locked all blocks.
     """
     while True:
         port = _blocks[-1].port(host) if _blocks else None
@@ -54,22 +54,22 @@
         _blocks.append(PortBlock())
 
 
-def _claim_block() -> tuple[socket.socket, int]:
-    for step in range(BLOCKS):
-        first = FIRST_PORT + (os.getpid() + step) % BLOCKS * BLOCK_PORTS
-        guard = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+def _lock_block() -> tuple[socket.socket, int]:
+    for step in range(BLOCK_COUNT):
+        first = FIRST_PORT + (os.getpid() + step) % BLOCK_COUNT * BLOCK_PORTS
+        lock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            guard.bind((GUARD_HOST, first))
+            lock.bind((LOCK_HOST, first))
         except OSError:
-            guard.close()
+            lock.close()
             continue
-        return guard, first
-    raise OSError(f"all {BLOCKS} blocks of ports are taken")
+        return lock, first
+    raise OSError(f"all {BLOCK_COUNT} port blocks are in use")
 
 
 def _is_free(host: str, port: int) -> bool:
     with socket.socket() as probe:
-        # As a server would: connections of an earlier one that only wait to lapse don't count.
+        # Servers set this too; connections in TIME_WAIT don't make a port unusable for them.
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             probe.bind((host, port))
--- a/tests/standins/test_ports.py
+++ b/tests/standins/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports for started processes are not lost between their choice and their use."""
+"""Allocated ports stay free until the started process listens on them."""
 
 import socket
 import subprocess
@@ -10,8 +10,8 @@
 from standins.ports import BLOCK_PORTS, PortBlock, free_port
 
 HOST = "127.0.0.1"
-OUTGOING = Path("/proc/sys/net/ipv4/ip_local_port_range")
-TAKE_PORTS = f"""
+EPHEMERAL_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
+ALLOCATE_PORTS = f"""
 import sys
 from standins.ports import free_port
 print(*(free_port("{HOST}") for _ in range(40)), flush=True)
@@ -21,16 +21,16 @@
 
 
 class FreePortTest(unittest.TestCase):
-    """A port stays free until the process it was chosen for listens."""
+    """Ports are neither ephemeral nor allocated twice."""
 
-    def test_no_outgoing_connection_can_take_a_chosen_port(self) -> None:
-        """Guards against a server that can't listen since a connection got its port."""
-        first, last = (int(text) for text in OUTGOING.read_text().split())
+    def test_allocated_ports_are_not_ephemeral(self) -> None:
+        """Guards against a server that can't listen because a connection uses its port."""
+        first, last = (int(text) for text in EPHEMERAL_RANGE.read_text().split())
         for port in [free_port(HOST) for _ in range(3 * BLOCK_PORTS)]:
             self.assertFalse(first <= port <= last, port)
 
-    def test_a_connection_on_a_port_keeps_a_server_from_listening(self) -> None:
-        """Shows the failure that the range of ports guards against."""
+    def test_a_connection_on_a_port_prevents_listening(self) -> None:
+        """Demonstrates the failure that the range of ports avoids."""
         with socket.create_server((HOST, 0)) as peer, socket.socket() as connection:
             connection.connect(peer.getsockname())
             port = connection.getsockname()[1]
@@ -38,11 +38,11 @@
                 server.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 server.bind((HOST, port))
 
-    def test_runs_beside_one_another_get_different_ports(self) -> None:
-        """Guards against two runs that choose the same port before either listens on it."""
+    def test_concurrent_runs_get_different_ports(self) -> None:
+        """Guards against two runs that allocate the same port before either listens on it."""
         runs = [
             subprocess.Popen(
-                [sys.executable, "-c", TAKE_PORTS],
+                [sys.executable, "-c", ALLOCATE_PORTS],
                 cwd=ROOT,
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
@@ -59,7 +59,7 @@
         self.assertEqual(len(ports), 40 * RUNS)
         self.assertEqual(len(set(ports)), len(ports))
 
-    def test_a_port_in_use_is_passed_over(self) -> None:
+    def test_a_port_in_use_is_skipped(self) -> None:
         block = PortBlock()
         self.addCleanup(block.close)
         port = block.port(HOST)
@@ -67,12 +67,12 @@
         with socket.create_server((HOST, port + 1)):
             self.assertEqual(block.port(HOST), port + 2)
 
-    def test_no_port_is_given_twice(self) -> None:
-        """Guards against two servers that are told the same port before either listens."""
+    def test_no_port_is_allocated_twice(self) -> None:
+        """Guards against two servers that are assigned the same port before either listens."""
         ports = [free_port(HOST) for _ in range(3 * BLOCK_PORTS)]
         self.assertEqual(len(set(ports)), len(ports))
 
-    def test_a_block_ends(self) -> None:
+    def test_an_exhausted_block_returns_none(self) -> None:
         block = PortBlock()
         self.addCleanup(block.close)
         ports = [block.port(HOST) for _ in range(BLOCK_PORTS)]
