--- a/standins/demo.py
+++ b/standins/demo.py
@@ -65,7 +65,7 @@
 
 def _in_force(system: System, version: int) -> bool:
     versions = system.versions_by_entry()
-    running = [e for e in system.entry_ids if system.launcher.alive(e)]
+    running = [e for e in system.entry_ids if system.launcher.is_alive(e)]
     return all(versions.get(entry_id, 0) >= version for entry_id in running)
 
 
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -1,4 +1,4 @@
-"""Starts processes and ends by id what it started; only the demo, tests and experiments use it."""
+"""Starts the processes of the demo, tests and experiments, and ends them by their ids."""
 
 import ctypes
 import os
@@ -13,24 +13,24 @@
 __all__ = ["Launcher"]
 
 ROOT = Path(__file__).resolve().parent.parent
-END_PATIENCE_S = 1.0
-"""Nothing of a demo is kept, so its entries need not serve on until cached look-ups lapse."""
+END_TIMEOUT_S = 1.0
+"""Short because a demo keeps no data: its entries need not serve until cached look-ups expire."""
 
-STOP_PATIENCE_S = 10.0
+STOP_TIMEOUT_S = 10.0
 PR_SET_PDEATHSIG = 1
-STOPPED_BY_SIGNAL = 128
+SIGNAL_EXIT_CODE_BASE = 128
 
 
 class Launcher:
-    """Owns the processes it started; leaving its context ends them all.
+    """Context manager that owns the processes it started and ends them all on exit.
 
-    A terminal's Ctrl-C goes to this process alone, because each child has a process group of its
-    own; so the children end in order, and entries gracefully.
+    Each child has its own process group, so Ctrl-C in a terminal reaches only this process. The
+    children then end in order, and entries end gracefully.
 
     Parameters
     ----------
     folder : Path
-        For the processes' logs.
+        Folder for the logs of the processes.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -38,7 +38,7 @@
         self._process_by_name: dict[str, subprocess.Popen[bytes]] = {}
 
     def __enter__(self) -> Self:
-        signal.signal(signal.SIGTERM, _leave)
+        signal.signal(signal.SIGTERM, _exit_on_signal)
         return self
 
     def __exit__(
@@ -62,22 +62,22 @@
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=subprocess.STDOUT,
-                preexec_fn=_end_with_parent,
+                preexec_fn=_kill_with_parent,
             )
         self._process_by_name[name] = process
         return process.pid
 
     def log(self, name: str) -> Path:
-        """Return the file with a process's output."""
+        """Return the path of a process's output."""
         return self.folder / f"{name}.log"
 
-    def alive(self, name: str) -> bool:
-        """Tell whether a process still runs."""
+    def is_alive(self, name: str) -> bool:
+        """Tell whether a process is still running."""
         process = self._process_by_name.get(name)
         return process is not None and process.poll() is None
 
     def pids(self) -> list[int]:
-        """Return the ids of all processes ever started."""
+        """Return the ids of all processes that were started, including ended ones."""
         return [process.pid for process in self._process_by_name.values()]
 
     def signal(self, name: str, number: int) -> None:
@@ -86,47 +86,47 @@
         if process.poll() is None:
             process.send_signal(number)
 
-    def wait(self, name: str, patience: float) -> int:
+    def wait(self, name: str, timeout: float) -> int:
         """Wait for a process to end; return its exit code.
 
         Raises
         ------
         subprocess.TimeoutExpired
-            It still runs after ``patience`` seconds.
+            The process is still running after ``timeout`` seconds.
         """
-        return self._process_by_name[name].wait(patience)
+        return self._process_by_name[name].wait(timeout)
 
-    def stop(self, name: str, patience: float = STOP_PATIENCE_S) -> int:
+    def stop(self, name: str, timeout: float = STOP_TIMEOUT_S) -> int:
         """Send SIGTERM and wait; return the exit code."""
         self.signal(name, signal.SIGTERM)
-        return self.wait(name, patience)
+        return self.wait(name, timeout)
 
     def kill(self, name: str) -> None:
         """Send SIGKILL and wait."""
         self.signal(name, signal.SIGKILL)
-        self.wait(name, STOP_PATIENCE_S)
+        self.wait(name, STOP_TIMEOUT_S)
 
     def end_all(self) -> None:
-        """End every process: all are asked first, then those that stay are killed."""
+        """Send SIGTERM to every process, then kill those that are still running."""
         running = {n: p for n, p in self._process_by_name.items() if p.poll() is None}
         for process in running.values():
-            # A stopped process would not see SIGTERM.
+            # A stopped process doesn't handle SIGTERM until it continues.
             process.send_signal(signal.SIGCONT)
             process.send_signal(signal.SIGTERM)
-        until = time.monotonic() + END_PATIENCE_S
+        deadline = time.monotonic() + END_TIMEOUT_S
         for process in running.values():
             try:
-                process.wait(max(0.01, until - time.monotonic()))
+                process.wait(max(0.01, deadline - time.monotonic()))
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
 
 
-def _end_with_parent() -> None:
-    """Ask the kernel to end this child with its parent, should that be killed outright."""
+def _kill_with_parent() -> None:
+    """Ask the kernel to kill this child if its parent is killed without ending it."""
     os.setpgid(0, 0)
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def _leave(number: int, _: FrameType | None) -> None:
-    raise SystemExit(STOPPED_BY_SIGNAL + number)
+def _exit_on_signal(number: int, _: FrameType | None) -> None:
+    raise SystemExit(SIGNAL_EXIT_CODE_BASE + number)
--- a/standins/system.py
+++ b/standins/system.py
@@ -260,7 +260,7 @@
     def callers_running(self) -> list[str]:
         """Return the names of caller processes that have not ended."""
         names = [f"{settings.name}-{settings.seed}" for settings in self._caller_runs]
-        return [name for name in names if self.launcher.alive(name)]
+        return [name for name in names if self.launcher.is_alive(name)]
 
     def finish_callers(self, patience: float) -> Report:
         """Wait until every call has ended; return the sum of all reports."""
@@ -306,7 +306,7 @@
         until(answers, f"{name} answers")
 
     def _check_runs(self, name: str) -> None:
-        if not self.launcher.alive(name):
+        if not self.launcher.is_alive(name):
             log = self.launcher.log(name).read_text()[-LOG_SHOWN:]
             raise NotReadyError(f"{name} has ended: {log}")
 
--- a/tests/standins/test_launcher.py
+++ b/tests/standins/test_launcher.py
@@ -1,4 +1,4 @@
-"""No process is left behind, however the launcher ends."""
+"""No child process outlives its launcher, however the launcher ends."""
 
 import os
 import signal
@@ -21,8 +21,8 @@
 """
 
 
-def ended(pid: int) -> bool:
-    """Tell whether a process is gone, or waits as a zombie for whoever adopted it."""
+def has_ended(pid: int) -> bool:
+    """Tell whether a process ended, counting a zombie that is not reaped yet as ended."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text()
     except FileNotFoundError:
@@ -33,7 +33,7 @@
 class LauncherTest(unittest.TestCase):
     """Processes end with the launcher that started them."""
 
-    def test_leaving_the_context_ends_all_even_a_stopped_one(self) -> None:
+    def test_leaving_the_context_ends_all_processes_even_stopped_ones(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             with Launcher(Path(folder)) as launcher:
                 for name in ("one", "two"):
@@ -42,13 +42,13 @@
                     )
                 launcher.signal("two", signal.SIGSTOP)
                 pids = launcher.pids()
-                self.assertEqual([ended(pid) for pid in pids], [False, False])
-            self.assertEqual([ended(pid) for pid in pids], [True, True])
+                self.assertEqual([has_ended(pid) for pid in pids], [False, False])
+            self.assertEqual([has_ended(pid) for pid in pids], [True, True])
 
-    def test_ctrl_c_sigterm_and_sigkill_leave_nothing(self) -> None:
-        """A demo is cut off in the middle, and its processes hold their ports for hours.
+    def test_no_process_is_left_after_sigint_sigterm_or_sigkill(self) -> None:
+        """Guards against processes of an interrupted demo that occupy their ports for hours.
 
-        The launcher gets a signal while its children run; with SIGKILL it cannot end them itself.
+        The launcher gets a signal while its children run. After SIGKILL it cannot end them itself.
         """
         for number in (signal.SIGINT, signal.SIGTERM, signal.SIGKILL):
             with self.subTest(number), tempfile.TemporaryDirectory() as folder:
@@ -58,7 +58,7 @@
                 child.send_signal(number)
                 child.wait()
                 child.stdout.close()
-                while not ended(pid):
+                while not has_ended(pid):
                     os.sched_yield()
 
     def _launch(self, folder: str) -> "subprocess.Popen[str]":
--- a/tools/faultsoak.py
+++ b/tools/faultsoak.py
@@ -195,7 +195,7 @@
         process = self._rng.choice(list(self.site.targets_by_process))
         self._launcher.signal(process, signal.SIGKILL)
         await asyncio.sleep(self._rng.uniform(0.2, 1.5))
-        if not self._launcher.alive(process):
+        if not self._launcher.is_alive(process):
             self._start_targets(process)
 
     async def _drain(self) -> None:
@@ -241,10 +241,10 @@
 
     async def _restart(self, name: str) -> None:
         self._disturb()
-        while self._launcher.alive(name):
+        while self._launcher.is_alive(name):
             await asyncio.sleep(0.05)
         await asyncio.sleep(self._rng.uniform(0.0, 0.5))
-        if not self._launcher.alive(name):
+        if not self._launcher.is_alive(name):
             self._start_gateway(name)
         self._disturb()
         self._notices.harmed(name)
