--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment as its example files describe it, on ports that are free here."""
+"""A deployment that is built from example files, with their ports replaced by free ones."""
 
 import json
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 
 class StandinSettings(Document):
-    """What the stand-ins of a deployment do."""
+    """Settings of the stand-ins of a deployment."""
 
     delays: Delays
     times_by_service: dict[str, ServiceTime]
@@ -32,20 +32,20 @@
 
 
 class PortMap:
-    """Replaces each (host, port) of the example files by a free port of that host."""
+    """Maps each (host, port) of the example files to a free port of the host."""
 
     def __init__(self) -> None:
         self._port_by_address: dict[tuple[str, int], int] = {}
 
     def port(self, host: str, port: int) -> int:
-        """Return the free port that stands for ``port``, always the same one."""
+        """Return the free port that replaces ``port``; repeated calls return the same one."""
         address = (host, port)
         if address not in self._port_by_address:
             self._port_by_address[address] = free_port(host)
         return self._port_by_address[address]
 
     def replace(self, document: Any) -> Any:
-        """Return a JSON document with free ports."""
+        """Return a JSON document with its ports replaced by free ones."""
         if isinstance(document, list):
             return [self.replace(item) for item in document]
         if not isinstance(document, dict):
@@ -60,12 +60,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """All documents of one deployment, written to ``folder`` with free ports.
+    """All documents of one deployment, which are written to ``folder`` with free ports.
 
     Attributes
     ----------
     documents_by_name : dict of str to dict
-        The files of the example by name without suffix, ports replaced.
+        The files of the example by name without suffix, with their ports replaced.
     """
 
     folder: Path
@@ -74,14 +74,14 @@
 
     @classmethod
     def load(cls, name: str, folder: Path) -> "Deployment":
-        """Read the example ``name`` and write its files, with free ports, to ``folder``."""
+        """Read the example ``name`` and write its files to ``folder``, with free ports."""
         files = sorted((EXAMPLES / name).glob("*.json"))
         documents = {file.stem: json.loads(file.read_text()) for file in files}
         return cls.build(documents, folder)
 
     @classmethod
     def build(cls, documents_by_name: dict[str, dict[str, Any]], folder: Path) -> "Deployment":
-        """Write documents, with free ports, to ``folder``; "standins" is kept in memory."""
+        """Write documents to ``folder``, with free ports; "standins" is kept only in memory."""
         ports = PortMap()
         standins = parse(
             StandinSettings, json.dumps(documents_by_name["standins"]), "standins.json"
@@ -103,21 +103,21 @@
         return path
 
     def policy(self) -> PolicyDocument:
-        """Return the policy, checked."""
+        """Return the parsed and validated policy."""
         return parse_policy(json.dumps(self.documents_by_name["policy"]))
 
     def names(self, prefix: str) -> list[str]:
-        """Return the names of documents that begin with ``prefix``, in order of their numbers."""
+        """Return the names of documents that start with ``prefix``, sorted by their numbers."""
         found = [name for name in self.documents_by_name if name.startswith(prefix)]
         return sorted(found, key=lambda name: int(name.rpartition("-")[2]))
 
     def address(self, entry_id: str) -> Address:
-        """Return where an entry takes callers."""
+        """Return the address at which an entry accepts callers."""
         settings = self.documents_by_name[entry_id]
         return Address(host=settings["host"], port=settings["caller_port"])
 
     def vms(self) -> list[Vm]:
-        """Return the VM list with every entry live."""
+        """Return the VM list, with every entry in the live state."""
         found = []
         for name in self.names("entry-"):
             s = self.documents_by_name[name]
@@ -128,16 +128,16 @@
     def backends(self, seed: int) -> dict[str, BackendSettings]:
         """Return the settings of one backend process per region."""
         policy = self.policy()
-        region_of = {z: name for name, region in policy.regions.items() for z in region.zones}
+        region_by_zone = {z: name for name, region in policy.regions.items() for z in region.zones}
         targets_by_region: dict[str, list[TargetSettings]] = {name: [] for name in policy.regions}
         for target_id, target in policy.targets.items():
-            targets_by_region[region_of[target.zone]].append(
+            targets_by_region[region_by_zone[target.zone]].append(
                 TargetSettings(
                     target_id=target_id,
                     host=target.host,
                     port=target.port,
                     service=target.service,
-                    region=region_of[target.zone],
+                    region=region_by_zone[target.zone],
                     zone=target.zone,
                     slots=target.slots,
                     connections=target.connections,
