--- a/standins/system.py
+++ b/standins/system.py
@@ -1,4 +1,4 @@
-"""A whole deployment in real processes on loopback: for the demo, the stories and experiments."""
+"""A complete deployment as processes on loopback, for the demo, scenario tests and experiments."""
 
 import base64
 import json
@@ -17,49 +17,51 @@
 from standins.deployment import Deployment
 from standins.launcher import Launcher
 
-__all__ = ["NotReadyError", "System", "call", "until"]
+__all__ = ["NotReadyError", "System", "call", "wait_until"]
 
-CALL_PATIENCE_S = 2.0
-READY_S = 60.0
-POLL_S = 0.05
+CALL_TIMEOUT_S = 2.0
+READY_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.05
 HOST = "127.0.0.1"
-LOG_SHOWN = 2_000
-"""Characters of a process's log that are shown when it has ended too early."""
+MAX_LOG_CHARACTERS = 2_000
+"""Length of the log excerpt in the error for a process that ended unexpectedly."""
 OPENER = urllib.request.build_opener(urllib.request.ProxyHandler({}))
 
 
 class NotReadyError(Exception):
-    """Something did not come about in time."""
+    """A condition was not met in time, or a process ended unexpectedly."""
 
 
 def call(host: str, port: int, path: str, body: object = None) -> Any:
-    """Make one HTTP call (POST if there is a body); return the JSON of its answer.
+    """Make an HTTP call (POST if there is a body); return the JSON of the response.
 
     Raises
     ------
     OSError
-        There was no answer, or not one with a good status.
+        There was no response, or its status was an error.
     """
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(f"http://{host}:{port}{path}", data=data)
-    with OPENER.open(request, timeout=CALL_PATIENCE_S) as response:
+    with OPENER.open(request, timeout=CALL_TIMEOUT_S) as response:
         text = response.read()
     return json.loads(text) if text else None
 
 
-def until(holds: Callable[[], bool], what: str, patience: float = READY_S) -> float:
-    """Wait until ``holds``; return the seconds it took.
+def wait_until(
+    condition: Callable[[], bool], description: str, timeout: float = READY_TIMEOUT_S
+) -> float:
+    """Wait until ``condition`` is true; return the seconds it took.
 
     Raises
     ------
     NotReadyError
-        It does not hold after ``patience`` seconds.
+        The condition is still false after ``timeout`` seconds.
     """
     began = time.monotonic()
-    while not holds():
-        if time.monotonic() - began > patience:
-            raise NotReadyError(f"after {patience:.0f} s still not: {what}")
-        time.sleep(POLL_S)
+    while not condition():
+        if time.monotonic() - began > timeout:
+            raise NotReadyError(f"after {timeout:.0f} s still not: {description}")
+        time.sleep(POLL_INTERVAL_S)
     return time.monotonic() - began
 
 
@@ -69,7 +71,7 @@
     Parameters
     ----------
     entry_module : str
-        What runs as an entry; experiments run another one.
+        Module to run as an entry; experiments run a different one.
     """
 
     def __init__(
@@ -90,25 +92,25 @@
         self._past_runs = 0
 
     def start(self, steers: bool = True) -> Self:
-        """Start all but the callers; return once every entry is ready."""
+        """Start everything except the callers; return once every entry is ready."""
         platform = self.deployment.documents_by_name["platform"]
         address = ("--host", platform["host"], "--port", str(platform["port"]))
         self.launcher.start("platform", "standins.objectapi", *address)
         for region, settings in self._backends.items():
             path = self.deployment.write(f"backend-{region}", settings.model_dump(mode="json"))
             self.launcher.start(f"backend-{region}", "standins.backend", "--settings", str(path))
-        self._until_answers("platform", platform["host"], platform["port"], "/control")
+        self._wait_until_answering("platform", platform["host"], platform["port"], "/control")
         for region, settings in self._backends.items():
-            self._until_answers(f"backend-{region}", HOST, settings.control_port, "/ledger")
+            self._wait_until_answering(f"backend-{region}", HOST, settings.control_port, "/ledger")
         self.publish_vms()
-        self.operate("apply", str(self.deployment.folder / "policy.json"))
+        self.run_cli("apply", str(self.deployment.folder / "policy.json"))
         for entry_id in self.entry_ids:
             self.start_entry(entry_id)
         if steers:
             for name in self.deployment.names("steer-"):
                 self.start_steer(name)
         for entry_id in self.entry_ids:
-            until(lambda e=entry_id: self.ready(e), f"{entry_id} ready")  # type: ignore[misc]
+            wait_until(lambda e=entry_id: self.is_ready(e), f"{entry_id} ready")  # type: ignore[misc]
         return self
 
     def start_entry(self, entry_id: str) -> None:
@@ -121,33 +123,33 @@
         path = str(self.deployment.folder / f"{name}.json")
         self.launcher.start(name, "briarspur.steer", "--settings", path)
 
-    def operate(self, *arguments: str) -> str:
-        """Run the operators' command line; return what it printed.
+    def run_cli(self, *arguments: str) -> str:
+        """Run the operators' command line; return its output.
 
         Raises
         ------
         NotReadyError
-            It did not end with exit code 0.
+            The exit code was not 0.
         """
         settings = str(self.deployment.folder / "cli.json")
         name = f"operate-{arguments[0]}-{time.monotonic_ns()}"
         self.launcher.start(name, "briarspur.cli", *arguments, "--settings", settings)
-        code = self.launcher.wait(name, READY_S)
+        code = self.launcher.wait(name, READY_TIMEOUT_S)
         text = self.launcher.log(name).read_text()
         if code != 0:
             raise NotReadyError(f"briarspur {' '.join(arguments)}: exit code {code}: {text}")
         return text
 
-    # What entries say
+    # Entries
 
-    def ready(self, entry_id: str) -> bool:
-        """Tell whether an entry takes requests."""
+    def is_ready(self, entry_id: str) -> bool:
+        """Tell whether an entry accepts requests."""
         address = self.deployment.address(entry_id)
-        self._check_runs(entry_id)
-        return self._answers(address.host, address.port, "/readyz")
+        self._check_running(entry_id)
+        return self._is_answering(address.host, address.port, "/readyz")
 
     def status(self, entry_id: str) -> dict[str, Any] | None:
-        """Return what an entry says at ``/status``; None if it does not answer."""
+        """Return an entry's ``/status`` document; None if it does not answer."""
         address = self.deployment.address(entry_id)
         try:
             document: dict[str, Any] = call(address.host, address.port, "/status")
@@ -156,12 +158,12 @@
         return document
 
     def versions_by_entry(self) -> dict[str, int]:
-        """Return the version of the policy in force at each entry that answers."""
+        """Return the policy version in force at each entry that answers."""
         found = {entry_id: self.status(entry_id) for entry_id in self.entry_ids}
         return {name: status["policy_version"] for name, status in found.items() if status}
 
-    def violations(self) -> dict[str, int]:
-        """Return how often each property that must always hold did not, at entries that answer."""
+    def invariant_violations(self) -> dict[str, int]:
+        """Return how often each invariant was violated, summed over the entries that answer."""
         found: Counter[str] = Counter()
         for entry_id in self.entry_ids:
             status = self.status(entry_id) or {}
@@ -171,20 +173,20 @@
     # The platform and the backend servers
 
     def switch_platform(self, **switches: object) -> dict[str, Any]:
-        """Change switches of the platform; return its switches and counts."""
+        """Change switches of the platform's stand-in; return its switches and counts."""
         platform = self.deployment.documents_by_name["platform"]
         document: dict[str, Any] = call(platform["host"], platform["port"], "/control", switches)
         return document
 
     def history(self, name: str) -> list[bytes]:
-        """Return the latest values of an object, the oldest first."""
+        """Return the recent values of an object, oldest first."""
         platform = self.deployment.documents_by_name["platform"]
         path = f"/control/history?name={name}"
         values = call(platform["host"], platform["port"], path)["values"]
         return [base64.b64decode(value) for value in values]
 
     def steer_status(self, name: str) -> dict[str, Any] | None:
-        """Return what a steer says at ``/status``; None if it does not answer."""
+        """Return a steer's ``/status`` document; None if it does not answer."""
         settings = self.deployment.documents_by_name[name]
         try:
             document: dict[str, Any] = call(settings["host"], settings["status_port"], "/status")
@@ -193,7 +195,7 @@
         return document
 
     def publish_vms(self, **states: VmState) -> None:
-        """Set the VM list, with the state of the named entries changed."""
+        """Publish the VM list after changing the state of the named entries."""
         for name, state in states.items():
             self._vms[name.replace("_", "-")]["state"] = state
         rows = [
@@ -204,7 +206,7 @@
         self.switch_platform(vms=rows)
 
     def switch_target(self, target_id: str, **switches: object) -> None:
-        """Change switches of one target, ``*`` of all."""
+        """Change switches of one target, or of all targets for ``*``."""
         for settings in self._backends.values():
             body = {"target": target_id, **switches}
             call(HOST, settings.control_port, "/control", body)
@@ -216,11 +218,11 @@
         ]
 
     def bookings(self) -> int:
-        """Return how many keys have been recorded."""
+        """Return how many keys the ledgers hold."""
         return sum(len(ledger["runs_by_key"]) for ledger in self.ledgers())
 
     def total(self, count: str) -> int:
-        """Return one count, summed over all targets."""
+        """Return a counter, summed over all targets."""
         return sum(
             counts[count]
             for ledger in self.ledgers()
@@ -228,15 +230,15 @@
         )
 
     def counts(self, target_id: str) -> dict[str, Any]:
-        """Return what one target counted."""
+        """Return the counters of one target."""
         for ledger in self.ledgers():
             if target_id in ledger["counts_by_target"]:
                 found: dict[str, Any] = ledger["counts_by_target"][target_id]
                 return found
         raise KeyError(target_id)
 
-    def busiest(self, service: str) -> tuple[str, int]:
-        """Return the target of a service with most in flight, and how much that is."""
+    def busiest_target(self, service: str) -> tuple[str, int]:
+        """Return the target of a service with the most requests in flight, and their number."""
         found = [
             (counts["in_flight"], target_id)
             for ledger in self.ledgers()
@@ -258,13 +260,13 @@
             self._caller_runs.append(settings)
 
     def callers_running(self) -> list[str]:
-        """Return the names of caller processes that have not ended."""
+        """Return the names of the caller processes that are still running."""
         names = [f"{settings.name}-{settings.seed}" for settings in self._caller_runs]
         return [name for name in names if self.launcher.is_alive(name)]
 
-    def finish_callers(self, patience: float) -> Report:
+    def finish_callers(self, timeout: float) -> Report:
         """Wait until every call has ended; return the sum of all reports."""
-        until(lambda: not self.callers_running(), "callers at their end", patience)
+        wait_until(lambda: not self.callers_running(), "callers at their end", timeout)
         total = Report()
         for settings in self._caller_runs:
             log = self.launcher.log(f"{settings.name}-{settings.seed}")
@@ -274,18 +276,18 @@
             total.add(Report.load(path.read_text()))
         return total
 
-    def forget_callers(self) -> None:
-        """Leave the callers so far out of later reports; their seeds are not used again."""
+    def discard_callers(self) -> None:
+        """Exclude the callers so far from later reports; their seeds are not reused."""
         self._past_runs += len(self._caller_runs)
         self._caller_runs.clear()
 
-    def lose_backends(self, region: str) -> None:
-        """Kill the backend servers of a region; its ledger is lost with them."""
+    def kill_backends(self, region: str) -> None:
+        """Kill the backend servers of a region; its ledger is lost."""
         self.launcher.kill(f"backend-{region}")
         del self._backends[region]
 
-    def wait_idle(self, patience: float = READY_S) -> list[dict[str, Any]]:
-        """Wait until no target runs anything; return the ledgers."""
+    def wait_idle(self, timeout: float = READY_TIMEOUT_S) -> list[dict[str, Any]]:
+        """Wait until no target has a request in flight; return the ledgers."""
 
         def idle() -> bool:
             ledgers = self.ledgers()
@@ -295,22 +297,22 @@
                 for counts in ledger["counts_by_target"].values()
             )
 
-        until(idle, "idle backend servers", patience)
+        wait_until(idle, "idle backend servers", timeout)
         return self.ledgers()
 
-    def _until_answers(self, name: str, host: str, port: int, path: str) -> None:
-        def answers() -> bool:
-            self._check_runs(name)
-            return self._answers(host, port, path)
+    def _wait_until_answering(self, name: str, host: str, port: int, path: str) -> None:
+        def is_answering() -> bool:
+            self._check_running(name)
+            return self._is_answering(host, port, path)
 
-        until(answers, f"{name} answers")
+        wait_until(is_answering, f"{name} answers")
 
-    def _check_runs(self, name: str) -> None:
+    def _check_running(self, name: str) -> None:
         if not self.launcher.is_alive(name):
-            log = self.launcher.log(name).read_text()[-LOG_SHOWN:]
+            log = self.launcher.log(name).read_text()[-MAX_LOG_CHARACTERS:]
             raise NotReadyError(f"{name} has ended: {log}")
 
-    def _answers(self, host: str, port: int, path: str) -> bool:
+    def _is_answering(self, host: str, port: int, path: str) -> bool:
         try:
             call(host, port, path)
         except ValueError:
--- a/tests/stories/small.py
+++ b/tests/stories/small.py
@@ -130,7 +130,7 @@
         self.assertEqual(verdict.doubled, [])
         self.assertEqual(verdict.lost, [])
         self.assertEqual(verdict.run_though_refused, [])
-        self.assertEqual(system.violations(), {})
+        self.assertEqual(system.invariant_violations(), {})
         limits = system.deployment.policy().regions
         for ledger in system.ledgers():
             for region, counts in ledger["counts_by_region"].items():
--- a/tests/stories/test_entry_killed.py
+++ b/tests/stories/test_entry_killed.py
@@ -1,7 +1,7 @@
 """An entry dies at once, with requests in flight."""
 
 from standins.callreport import Outcome
-from standins.system import until
+from standins.system import wait_until
 from tests.stories.small import BOOKINGS, TIMES, StoryTest, small_system
 
 
@@ -17,7 +17,7 @@
         """
         with small_system() as system:
             system.start_callers(6.0, [TIMES, BOOKINGS])
-            until(lambda: system.bookings() >= 20, "20 bookings")
+            wait_until(lambda: system.bookings() >= 20, "20 bookings")
             system.launcher.kill("entry-1")
             report = self.finish(system)
             self.assertGreater(report.total(Outcome.ANSWERED, "booking"), 20)
--- a/tests/stories/test_entry_paused.py
+++ b/tests/stories/test_entry_paused.py
@@ -3,7 +3,7 @@
 import signal
 
 from standins.callreport import Outcome
-from standins.system import System, until
+from standins.system import System, wait_until
 from tests.stories.small import BOOKINGS, TIMES, StoryTest, small_system
 
 ENTRY = "entry-2"
@@ -21,9 +21,9 @@
         """
         with small_system() as system:
             system.start_callers(8.0, [TIMES, BOOKINGS])
-            until(lambda: system.bookings() >= 20, "20 bookings")
+            wait_until(lambda: system.bookings() >= 20, "20 bookings")
             system.launcher.signal(ENTRY, signal.SIGSTOP)
-            until(lambda: self._gone(system), f"{ENTRY} gone from every view")
+            wait_until(lambda: self._gone(system), f"{ENTRY} gone from every view")
             system.launcher.signal(ENTRY, signal.SIGCONT)
             report = self.finish(system)
             self.assertGreater(report.total(Outcome.ANSWERED, "booking"), 20)
--- a/tests/stories/test_entry_replaced.py
+++ b/tests/stories/test_entry_replaced.py
@@ -1,7 +1,7 @@
 """An entry's VM is replaced at once, under load, by a new process with the same seat."""
 
 from standins.callreport import Outcome
-from standins.system import until
+from standins.system import wait_until
 from tests.stories.small import BOOKINGS, TIMES, StoryTest, small_system
 
 
@@ -16,10 +16,10 @@
         """
         with small_system() as system:
             system.start_callers(8.0, [TIMES, BOOKINGS])
-            until(lambda: system.bookings() >= 20, "20 bookings")
+            wait_until(lambda: system.bookings() >= 20, "20 bookings")
             for entry_id in ("entry-1", "entry-2"):
                 system.launcher.kill(entry_id)
                 system.start_entry(entry_id)
-                until(lambda e=entry_id: system.ready(e), f"{entry_id} ready")
+                wait_until(lambda e=entry_id: system.is_ready(e), f"{entry_id} ready")
             report = self.finish(system)
             self.assertGreater(report.total(Outcome.ANSWERED, "booking"), 20)
--- a/tests/stories/test_entry_stopped.py
+++ b/tests/stories/test_entry_stopped.py
@@ -3,7 +3,7 @@
 import signal
 
 from standins.callreport import Outcome
-from standins.system import until
+from standins.system import wait_until
 from tests.stories.small import (
     BOOKINGS,
     CHARTS,
@@ -28,7 +28,7 @@
         """
         with small_system(deadline_ms=PATIENT_MS) as system:
             system.start_callers(6.0, [TIMES, BOOKINGS, CHARTS])
-            until(lambda: system.total("bytes_sent") > 3_000_000, "downloads under way")
+            wait_until(lambda: system.total("bytes_sent") > 3_000_000, "downloads under way")
             system.launcher.signal("entry-1", signal.SIGTERM)
             system.launcher.signal("entry-1", signal.SIGTERM)
             code = system.launcher.wait("entry-1", ENTRY_STOP_S)
--- a/tests/stories/test_steer_paused.py
+++ b/tests/stories/test_steer_paused.py
@@ -5,7 +5,7 @@
 
 from briarspur.coord.envelope import open_envelope
 from briarspur.plan import PLAN_NAME
-from standins.system import System, until
+from standins.system import System, wait_until
 from tests.stories.small import BOOKINGS, TIMES, StoryTest, small_system
 
 
@@ -20,18 +20,18 @@
         """
         with small_system(steers=True) as system:
             system.start_callers(8.0, [TIMES, BOOKINGS])
-            until(lambda: holder(system) is not None, "a holder of the lease")
+            wait_until(lambda: holder(system) is not None, "a holder of the lease")
             first = holder(system)
             assert first is not None
-            until(lambda: terms(system) != [], "a plan object")
+            wait_until(lambda: terms(system) != [], "a plan object")
             system.launcher.signal(first, signal.SIGSTOP)
-            until(lambda: holder(system) not in (None, first), "another holder")
+            wait_until(lambda: holder(system) not in (None, first), "another holder")
             second = holder(system)
             assert second is not None
             term = status(system, second)["term"]
-            until(lambda: terms(system)[-1] == term, "the plan fenced by the new term")
+            wait_until(lambda: terms(system)[-1] == term, "the plan fenced by the new term")
             system.launcher.signal(first, signal.SIGCONT)
-            until(lambda: gave_up(system, first), "the first to notice")
+            wait_until(lambda: gave_up(system, first), "the first to notice")
             self.finish(system)
             written = terms(system)
             self.assertEqual(written, sorted(written))
--- a/tests/stories/test_steer_plans.py
+++ b/tests/stories/test_steer_plans.py
@@ -7,7 +7,7 @@
 from standins.callersettings import Load
 from standins.deployment import Deployment
 from standins.launcher import Launcher
-from standins.system import System, until
+from standins.system import System, wait_until
 from tests.stories.small import documents
 from tests.stories.test_steer_paused import holder, status
 
@@ -33,7 +33,7 @@
                 self.follow(System(deployment, launcher).start())
 
     def follow(self, system: System) -> None:
-        until(lambda: holder(system) is not None, "a holder of the lease")
+        wait_until(lambda: holder(system) is not None, "a holder of the lease")
         first = holder(system)
         assert first is not None
         term = status(system, first)["term"]
@@ -43,8 +43,8 @@
             said = [system.status(entry_id) or {} for entry_id in system.entry_ids]
             return all(each.get("plan_term") == term for each in said)
 
-        until(planned, "a plan in force at every entry", PLAN_S)
+        wait_until(planned, "a plan in force at every entry", PLAN_S)
         self.assertGreaterEqual(status(system, first)["plan_number"], 1)
         self.assertEqual(status(system, first)["entries_reporting"], len(system.entry_ids))
         self.assertEqual(system.launcher.stop(first), 0)
-        until(lambda: holder(system) not in (None, first), "another holder")
+        wait_until(lambda: holder(system) not in (None, first), "another holder")
--- a/tests/stories/test_store_stopped.py
+++ b/tests/stories/test_store_stopped.py
@@ -3,7 +3,7 @@
 import signal
 
 from standins.callreport import Outcome
-from standins.system import until
+from standins.system import wait_until
 from tests.stories.small import BOOKINGS, TIMES, StoryTest, small_system
 
 FOREIGN = BOOKINGS.model_copy(
@@ -22,10 +22,10 @@
         """
         with small_system() as system:
             system.start_callers(8.0, [TIMES, BOOKINGS, FOREIGN])
-            until(lambda: system.bookings() >= 20, "20 bookings before")
+            wait_until(lambda: system.bookings() >= 20, "20 bookings before")
             system.launcher.signal("platform", signal.SIGSTOP)
             before = system.bookings()
-            until(lambda: system.bookings() >= before + 120, "120 bookings without a store")
+            wait_until(lambda: system.bookings() >= before + 120, "120 bookings without a store")
             system.launcher.signal("platform", signal.SIGCONT)
             report = self.finish(system)
             for load in ("times", "booking"):
--- a/tools/experiment.py
+++ b/tools/experiment.py
@@ -19,7 +19,7 @@
 from standins.callreport import Outcome, Report, check_bookings
 from standins.deployment import Deployment
 from standins.launcher import Launcher
-from standins.system import System, until
+from standins.system import System, wait_until
 
 MEDIAN_MS = 100.0
 """Service time of small requests: slow enough that one machine can fill every slot."""
@@ -92,7 +92,7 @@
         loads = self._loads(load)
         system.start_callers(WARM_UP_S, loads)
         system.finish_callers(CALLERS_END_S)
-        system.forget_callers()
+        system.discard_callers()
         system.switch_target("*", reset_peaks=True)
         system.start_callers(self._seconds, loads)
         if lost != "none":
@@ -131,10 +131,10 @@
     def _lose(self, lost: str) -> None:
         """Kill an entry, the entries of a zone, or a region with its backend servers."""
         system = self._system
-        until(lambda: system.callers_running() != [], "callers")
+        wait_until(lambda: system.callers_running() != [], "callers")
         mark = system.total("started")
         small = sum(c for s, c in self._capacity_by_service.items() if s not in DOWNLOADS)
-        until(lambda: system.total("started") > mark + small * LOSS_AFTER_S / 2, "load")
+        wait_until(lambda: system.total("started") > mark + small * LOSS_AFTER_S / 2, "load")
         policy = system.deployment.policy()
         region = next(iter(policy.regions))
         zone = policy.regions[region].zones[0]
@@ -146,7 +146,7 @@
         if lost == "entry":
             system.launcher.kill("entry-1")
         if lost == "region":
-            system.lose_backends(region)
+            system.kill_backends(region)
 
     def _cell(self, load: float, lost: str, report: Report) -> Cell:
         small = [s for s in self._capacity_by_service if s not in DOWNLOADS]
