--- a/tests/stories/small.py
+++ b/tests/scenarios/smallsystem.py
@@ -1,4 +1,4 @@
-"""A small deployment for stories: two regions, four entries, three services, two steers."""
+"""A small deployment for scenarios: two regions, four entries, three services, two steers."""
 
 import tempfile
 import unittest
@@ -14,10 +14,10 @@
 from standins.system import System
 from tests.examples import small_policy
 
-__all__ = ["BOOKINGS", "CHARTS", "ENTRY_STOP_S", "TIMES", "StoryTest", "small_system"]
+__all__ = ["BOOKINGS", "CHARTS", "ENTRY_STOP_TIMEOUT_S", "TIMES", "ScenarioTest", "small_system"]
 
-ENTRY_STOP_S = 60.0
-CALLERS_END_S = 60.0
+ENTRY_STOP_TIMEOUT_S = 60.0
+CALLERS_END_TIMEOUT_S = 60.0
 LEASE_S = 2.0
 
 ATTEMPT_S = 3.0
@@ -54,11 +54,11 @@
 
 
 DEADLINE_MS = 2_000
-"""Of timetables and bookings, as in the default of the policy."""
+"""Deadline of timetables and bookings, equal to the default of the policy."""
 
 
-def documents(deadline_ms: int = DEADLINE_MS) -> dict[str, dict[str, Any]]:
-    """Return every document of the deployment, by file name."""
+def make_documents(deadline_ms: int = DEADLINE_MS) -> dict[str, dict[str, Any]]:
+    """Return the documents of the deployment by file name, without suffix."""
     policy = small_policy(targets=2, entries=2)
     policy["services"]["charts"] = {
         "path": "/charts",
@@ -76,7 +76,7 @@
     policy["lookup_lifetime_s"] = 2.0
     policy["blocks"] = {"default": "north", "by_prefix": {"127.92.0.0/16": "south"}}
     platform = {"host": "127.0.0.1", "port": 8080}
-    made: dict[str, dict[str, Any]] = {
+    documents: dict[str, dict[str, Any]] = {
         "policy": policy,
         "platform": platform,
         "cli": {"platform": platform},
@@ -88,7 +88,7 @@
         },
     }
     for entry_id, host in HOSTS_BY_ENTRY.items():
-        made[entry_id] = {
+        documents[entry_id] = {
             "platform": platform,
             "entry_id": entry_id,
             "zone": policy["entries"][entry_id]["zone"],
@@ -99,7 +99,7 @@
             "probe_interval_s": 0.3,
         }
     for number, zone in enumerate(("north-a", "south-a"), 1):
-        made[f"steer-{number}"] = {
+        documents[f"steer-{number}"] = {
             "platform": platform,
             "holder_id": f"steer-{number}",
             "zone": zone,
@@ -108,24 +108,24 @@
             "lease_s": LEASE_S,
             "plan_interval_s": 0.5,
         }
-    return made
+    return documents
 
 
 @contextmanager
 def small_system(steers: bool = False, deadline_ms: int = DEADLINE_MS) -> Iterator[System]:
-    """Run the deployment; all its processes have ended after the block."""
-    with tempfile.TemporaryDirectory(prefix="briarspur-story-") as name:
-        deployment = Deployment.build(documents(deadline_ms), Path(name))
+    """Run the deployment; its processes end with the block."""
+    with tempfile.TemporaryDirectory(prefix="briarspur-scenario-") as name:
+        deployment = Deployment.build(make_documents(deadline_ms), Path(name))
         with Launcher(Path(name)) as launcher:
             yield System(deployment, launcher).start(steers)
 
 
-class StoryTest(unittest.TestCase):
-    """What every story ends with."""
+class ScenarioTest(unittest.TestCase):
+    """Base class with the checks at the end of every scenario."""
 
     def finish(self, system: System) -> Report:
-        """Check that nothing was doubled or lost, no region overloaded, every caller answered."""
-        report = system.finish_callers(CALLERS_END_S)
+        """Check bookings, invariants, limits of regions, and that every call was answered."""
+        report = system.finish_callers(CALLERS_END_TIMEOUT_S)
         verdict = check_bookings(report, system.wait_idle())
         self.assertEqual(verdict.doubled, [])
         self.assertEqual(verdict.lost, [])
--- a/tests/stories/test_entry_replaced.py
+++ b/tests/scenarios/test_entry_replaced.py
@@ -1,18 +1,19 @@
-"""An entry's VM is replaced at once, under load, by a new process with the same seat."""
+"""An entry's VM is replaced immediately, under load, by a new process with the same id."""
 
 from standins.callreport import Outcome
 from standins.system import wait_until
-from tests.stories.small import BOOKINGS, TIMES, StoryTest, small_system
+from tests.scenarios.smallsystem import BOOKINGS, TIMES, ScenarioTest, small_system
 
 
-class EntryReplacedTest(StoryTest):
+class EntryReplacedTest(ScenarioTest):
     """SIGKILL of an entry, and a new process at its addresses."""
 
-    def test_the_new_process_neither_runs_old_keys_nor_overloads_its_region(self) -> None:
-        """A booking is sent again to the address it was sent to before, and another VM answers.
+    def test_the_new_process_neither_reruns_keys_nor_overloads_its_region(self) -> None:
+        """Guards against a restarted entry that forgets which keys and requests are in progress.
 
-        The new process has the seat, the addresses and the share of limits of the old one, but not
-        its memory. Requests of the old one may still run on backend servers when it begins.
+        A caller retries a booking at the same address, and a new process answers. It has the entry
+        id, the addresses and the share of limits of the old process, but not its memory. Requests
+        of the old process may still run on backend servers when it starts.
         """
         with small_system() as system:
             system.start_callers(8.0, [TIMES, BOOKINGS])
--- a/tests/stories/test_steer_paused.py
+++ b/tests/scenarios/test_steer_paused.py
@@ -1,4 +1,4 @@
-"""The planner's VM freezes past its lease, and goes on believing that it holds it."""
+"""The planner's VM freezes for longer than its lease, and then resumes as if it held it."""
 
 import signal
 from typing import Any
@@ -6,17 +6,17 @@
 from briarspur.coord.envelope import open_envelope
 from briarspur.plan import PLAN_NAME
 from standins.system import System, wait_until
-from tests.stories.small import BOOKINGS, TIMES, StoryTest, small_system
+from tests.scenarios.smallsystem import BOOKINGS, TIMES, ScenarioTest, small_system
 
 
-class SteerPausedTest(StoryTest):
-    """SIGSTOP of the lease's holder, then SIGCONT."""
+class SteerPausedTest(ScenarioTest):
+    """SIGSTOP of the holder of the lease, then SIGCONT."""
 
-    def test_a_resumed_holder_gets_no_write_in(self) -> None:
-        """Traffic is shifted back to a region that another planner has just emptied.
+    def test_writes_of_a_resumed_former_holder_are_rejected(self) -> None:
+        """Guards against an outdated plan that shifts traffic back to an emptied region.
 
-        The holder of the lease is frozen in the middle of a round. Its lease lapses, another takes
-        over and plans. The first goes on where it was, and writes its plan of before.
+        The holder of the lease freezes during a round. Its lease expires, and another planner takes
+        over and writes a plan. The first one resumes its round and tries to write its old plan.
         """
         with small_system(steers=True) as system:
             system.start_callers(8.0, [TIMES, BOOKINGS])
@@ -31,7 +31,7 @@
             term = status(system, second)["term"]
             wait_until(lambda: terms(system)[-1] == term, "the plan fenced by the new term")
             system.launcher.signal(first, signal.SIGCONT)
-            wait_until(lambda: gave_up(system, first), "the first to notice")
+            wait_until(lambda: lost_lease(system, first), "the first to notice")
             self.finish(system)
             written = terms(system)
             self.assertEqual(written, sorted(written))
@@ -41,14 +41,14 @@
 
 
 def status(system: System, name: str) -> dict[str, Any]:
-    """Return a steer's status, empty while it does not answer."""
+    """Return a steer's status; one without a lease while it does not answer."""
     return system.steer_status(name) or {"holds_lease": False, "term": 0}
 
 
-def gave_up(system: System, name: str) -> bool:
-    """Tell whether a steer answers, and says that it does not hold the lease."""
-    said = system.steer_status(name)
-    return said is not None and not said["holds_lease"]
+def lost_lease(system: System, name: str) -> bool:
+    """Tell whether a steer answers and reports that it does not hold the lease."""
+    document = system.steer_status(name)
+    return document is not None and not document["holds_lease"]
 
 
 def holder(system: System) -> str | None:
--- a/tests/stories/test_store_stopped.py
+++ b/tests/scenarios/test_store_stopped.py
@@ -1,24 +1,25 @@
-"""The platform's store stops answering under load, and comes back."""
+"""The platform's store stops answering under load, and recovers."""
 
 import signal
 
 from standins.callreport import Outcome
 from standins.system import wait_until
-from tests.stories.small import BOOKINGS, TIMES, StoryTest, small_system
+from tests.scenarios.smallsystem import BOOKINGS, TIMES, ScenarioTest, small_system
 
 FOREIGN = BOOKINGS.model_copy(
     update={"name": "foreign", "foreign_share": 1.0, "per_s": 5.0, "repeats": 0}
 )
 
 
-class StoreStoppedTest(StoryTest):
+class StoreStoppedTest(ScenarioTest):
     """SIGSTOP of the platform under load."""
 
-    def test_callers_are_served_by_the_last_policy(self) -> None:
-        """Timetables and bookings go on while the store is silent for longer than its timeout.
+    def test_callers_are_served_with_the_last_known_policy(self) -> None:
+        """Guards against requests that wait for the store.
 
-        The platform's process is stopped, so calls to it hang. Entries must not wait for it on the
-        way of a request. Only keys that no look-up handed out need it: they are not dispatched.
+        The platform's process is stopped for longer than the timeout of calls to it, so they hang.
+        Entries must serve timetables and bookings without the store. Only keys that no look-up
+        handed out need it, so requests with such keys are not dispatched.
         """
         with small_system() as system:
             system.start_callers(8.0, [TIMES, BOOKINGS, FOREIGN])
--- a/tests/standins/test_system.py
+++ b/tests/standins/test_system.py
@@ -1,4 +1,4 @@
-"""A deployment whose process can't start says so at once."""
+"""A deployment fails immediately if one of its processes cannot start."""
 
 import socket
 import tempfile
@@ -8,18 +8,18 @@
 from standins.deployment import Deployment
 from standins.launcher import Launcher
 from standins.system import NotReadyError, System
-from tests.stories.small import documents
+from tests.scenarios.smallsystem import make_documents
 
 HOST = "127.0.0.1"
 
 
 class StartTest(unittest.TestCase):
-    """A process that ends during the start ends the start, with its log."""
+    """A process that ends during the start aborts the start."""
 
-    def test_a_platform_that_can_not_listen_is_told_with_its_log(self) -> None:
-        """Guards against a start that waits in vain for a process which has ended."""
+    def test_a_platform_that_cannot_listen_is_reported_with_its_log(self) -> None:
+        """Guards against a start that waits until the timeout for a process that has ended."""
         with tempfile.TemporaryDirectory() as name, socket.create_server((HOST, 0)) as peer:
-            deployment = Deployment.build(documents(), Path(name))
+            deployment = Deployment.build(make_documents(), Path(name))
             platform = deployment.documents_by_name["platform"]
             with socket.socket() as connection, Launcher(deployment.folder) as launcher:
                 connection.bind((HOST, platform["port"]))
--- a/tests/stories/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Stories of failures over real processes on loopback."""
