--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the stand-ins, as far as verdicts of other tests rest on them."""
+"""Tests of the parts of the stand-ins on which the results of other tests depend."""
--- a/tests/standins/test_examples.py
+++ b/tests/standins/test_examples.py
@@ -1,4 +1,4 @@
-"""The example files are valid, and have the sizes that both users gave."""
+"""The example files are valid, and have the sizes of the users' deployments."""
 
 import json
 import tempfile
@@ -34,9 +34,9 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    """Both deployments."""
+    """Checks of both example deployments."""
 
-    def test_policies_have_the_sizes_of_today(self) -> None:
+    def test_policies_have_the_sizes_of_the_deployments(self) -> None:
         for name, targets in TARGETS.items():
             policy = parse_policy((EXAMPLES / name / "policy.json").read_bytes())
             self.assertEqual(Counter(t.service for t in policy.targets.values()), targets)
@@ -54,7 +54,7 @@
                 if model is not None:
                     load_settings(model, str(file))
 
-    def test_a_deployment_gets_ports_of_its_own(self) -> None:
+    def test_ports_of_a_deployment_are_replaced_consistently(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             deployment = Deployment.load("iroise", Path(folder))
             platforms = [
--- a/tests/test_embedding.py
+++ b/tests/test_embedding.py
@@ -1,4 +1,4 @@
-"""Runs the Python blocks of ``docs/embedding.md``, one test for each section."""
+"""Runs the Python examples of ``docs/embedding.md``, with one subtest per section."""
 
 import re
 import unittest
@@ -12,9 +12,9 @@
 
 
 class EmbeddingTest(unittest.TestCase):
-    """Each section has an example, and the blocks of a section run in order."""
+    """Each section has an example, and its code blocks run in order."""
 
-    def test_examples(self) -> None:
+    def test_examples_run(self) -> None:
         invariants.strict = True
         _, *parts = SECTION.split(PAGE.read_text(encoding="utf-8"))
         sections = dict(zip(parts[::2], parts[1::2], strict=True))
--- a/tests/test_embedding_limits.py
+++ b/tests/test_embedding_limits.py
@@ -1,4 +1,4 @@
-"""Runs the examples of docs/embedding-limits.md."""
+"""Runs the Python examples of ``docs/embedding-limits.md``."""
 
 import re
 import unittest
@@ -8,7 +8,7 @@
 
 
 class EmbeddingLimitsTest(unittest.TestCase):
-    """What the page shows is so."""
+    """The examples of the page run without errors."""
 
     def test_examples_run(self) -> None:
         blocks = re.findall(r"```python\n(.*?)```", PAGE.read_text(), re.DOTALL)
