--- a/standins/bodies.py
+++ b/standins/bodies.py
@@ -19,7 +19,7 @@
         self.length = len(self._body)
 
     def startProducing(self, consumer: Any) -> "Deferred[None]":  # noqa: N802
-        """Write the whole body."""
+        """Write the complete body."""
         consumer.write(self._body)
         return succeed(None)
 
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -26,9 +26,11 @@
     delays: Delays
     times_by_service: dict[str, ServiceTime]
     caller_networks_by_region: dict[str, str] = Field(description="first two bytes of addresses")
-    caller_blocks: int = Field(default=24, ge=1, le=255, description="/24 blocks of each region")
+    caller_blocks: int = Field(
+        default=24, ge=1, le=255, description="number of /24 blocks per region"
+    )
     loads: list[Load]
-    warm: bool = Field(default=True, description="targets start warm")
+    warm: bool = Field(default=True, description="whether targets start warm")
 
 
 class PortMap:
--- a/standins/targetmodel.py
+++ b/standins/targetmodel.py
@@ -24,12 +24,14 @@
     """Distribution of service times, and how much slower a cold target is."""
 
     median_ms: float = Field(default=20.0, ge=0.0)
-    sigma: float = Field(default=0.3, ge=0.0, description="of the logarithm")
-    cold_factor: float = Field(default=4.0, ge=1.0, description="slowness of the first request")
-    warm_after: int = Field(default=30, ge=1, description="requests until it is warm")
-    half_warmth_s: float = Field(default=30.0, gt=0.0, description="idle time that halves warmth")
-    connect_ms: float = Field(default=1.0, ge=0.0, description="added on a new connection")
-    bytes_per_s: int = Field(default=4_000_000, ge=1_000, description="pace of one download")
+    sigma: float = Field(default=0.3, ge=0.0, description="standard deviation of its logarithm")
+    cold_factor: float = Field(default=4.0, ge=1.0, description="slowdown of the first request")
+    warm_after: int = Field(default=30, ge=1, description="number of requests until it is warm")
+    half_warmth_s: float = Field(
+        default=30.0, gt=0.0, description="idle time that halves the warm-up"
+    )
+    connect_ms: float = Field(default=1.0, ge=0.0, description="delay added on a new connection")
+    bytes_per_s: int = Field(default=4_000_000, ge=1_000, description="rate of one download")
 
 
 class TargetSettings(Document):
@@ -50,7 +52,9 @@
 
     zones_by_host: dict[str, str] = Field(default={}, description="zone of each entry's address")
     regions_by_zone: dict[str, str] = Field(default={})
-    client_ms: float = Field(default=0.0, ge=0.0, description="between a caller and its region")
+    client_ms: float = Field(
+        default=0.0, ge=0.0, description="delay between a caller and its region"
+    )
     between_zones_ms: float = Field(default=0.0, ge=0.0)
     between_regions_ms: float = Field(default=0.0, ge=0.0)
 
@@ -77,8 +81,10 @@
     host: str = "127.0.0.1"
     control_port: int
     seed: int = 1
-    warm: bool = Field(default=False, description="start warm")
-    crash_s: float = Field(default=2.0, ge=0.0, description="refuses connections after a crash")
+    warm: bool = Field(default=False, description="whether targets start warm")
+    crash_s: float = Field(
+        default=2.0, ge=0.0, description="time without connections after a crash"
+    )
     delays: Delays = Delays()
     times_by_service: dict[str, ServiceTime] = Field(default={})
     targets: list[TargetSettings]
@@ -91,8 +97,12 @@
     slow_factor: float = Field(default=1.0, gt=0.0)
     health: Literal["true", "ok", "bad"] = "true"
     load: Literal["true", "idle", "silent"] = "true"
-    lose_answers: int = Field(default=0, ge=0, description="run, then cut without an answer")
-    cut_answers: int = Field(default=0, ge=0, description="cut after half of the body")
+    lose_answers: int = Field(
+        default=0, ge=0, description="requests to run and abort without an answer"
+    )
+    cut_answers: int = Field(
+        default=0, ge=0, description="number of bodies to truncate in the middle"
+    )
 
 
 @dataclass(slots=True)
--- a/standins/targetrun.py
+++ b/standins/targetrun.py
@@ -128,7 +128,7 @@
 
 
 def _range(request: Request, size: int, etag: str) -> tuple[int, int]:
-    """Return the requested range as start and exclusive end; the whole if none applies."""
+    """Return the start and exclusive end of the requested range, or of the complete content."""
     matched = RANGE.fullmatch(header(request, b"range") or "")
     condition = header(request, b"if-range")
     if not matched or (condition and condition != etag) or int(matched[1]) >= size:
