--- a/tools/experiment.py
+++ b/tools/experiment.py
@@ -16,10 +16,10 @@
 
 from standins.alternatives import Alternative
 from standins.callersettings import Load
-from standins.callreport import Outcome, Report, judge
+from standins.callreport import Outcome, Report, check_bookings
 from standins.deployment import Deployment
 from standins.launcher import Launcher
-from standins.system import System, until
+from standins.system import System, wait_until
 
 SERVICE_MEDIAN_MS = 100.0
 """Service time of small requests, slow enough that one machine can occupy every slot."""
@@ -95,7 +95,7 @@
         loads = self._loads(load)
         system.start_callers(WARM_UP_S, loads)
         system.finish_callers(MAX_CALLERS_END_S)
-        system.forget_callers()
+        system.discard_callers()
         system.switch_target("*", reset_peaks=True)
         system.start_callers(self._seconds, loads)
         if lost != "none":
@@ -107,7 +107,7 @@
     def _print_details(self, report: Report) -> None:
         """Print the result codes and latencies of each service to standard error."""
         for load, codes in report.codes_by_load.items():
-            latencies = ", ".join(f"p{p} {report.milliseconds(load, p):.0f}" for p in (50, 90, 99))
+            latencies = ", ".join(f"p{p} {report.latency_ms(load, p):.0f}" for p in (50, 90, 99))
             print(f"  {load}: {dict(codes)}, ms: {latencies}", file=sys.stderr, flush=True)
 
     def _loads(self, share: float) -> list[Load]:
@@ -134,12 +134,12 @@
     def _inject_loss(self, lost: str) -> None:
         """Kill an entry, all entries of a zone, or all entries and backend servers of a region."""
         system = self._system
-        until(lambda: system.callers_running() != [], "callers")
+        wait_until(lambda: system.callers_running() != [], "callers")
         started_before = system.total("started")
         small_capacity = sum(
             c for s, c in self._capacity_by_service.items() if s not in DOWNLOAD_SERVICES
         )
-        until(
+        wait_until(
             lambda: system.total("started") > started_before + small_capacity * LOSS_AFTER_S / 2,
             "load",
         )
@@ -154,7 +154,7 @@
         if lost == "entry":
             system.launcher.kill("entry-1")
         if lost == "region":
-            system.lose_backends(region)
+            system.kill_backends(region)
 
     def _cell(self, load: float, lost: str, report: Report) -> Cell:
         small_services = [s for s in self._capacity_by_service if s not in DOWNLOAD_SERVICES]
@@ -172,15 +172,15 @@
                     total.histograms_by_load["all"].add(report.histograms_by_load[service])
         ledgers = self._system.ledgers()
         policy = self._system.deployment.policy()
-        verdict = judge(report, ledgers)
+        verdict = check_bookings(report, ledgers)
         return Cell(
             alternative=self._alternative.value,
             load=load,
             lost=lost,
             goodput=answered / capacity,
             refused=refused / max(1, calls),
-            p50=total.milliseconds("all", 50),
-            p99=total.milliseconds("all", 99),
+            p50=total.latency_ms("all", 50),
+            p99=total.latency_ms("all", 99),
             shed=sum(c["shed"] for item in ledgers for c in item["counts_by_target"].values()),
             target_peak=max(
                 c["peak_in_flight"] / policy.targets[target_id].slots
