--- a/briarspur/gateway/admission.py
+++ b/briarspur/gateway/admission.py
@@ -2,7 +2,7 @@
 
 It weighs the benefit for the caller against the delay of the requests behind. The overload that it
 handles is more requests than the servers can serve, either for seconds (a burst, a service that
-lost servers) or at once (callers that waited for entries which had all restarted).
+lost servers) or at a single moment (callers that waited for entries which had all restarted).
 """
 
 from collections.abc import Sequence
@@ -26,19 +26,17 @@
 goal."""
 MAX_SPREAD_UTILIZATION = 0.8
 """Share of a service's slots in use up to which a request whose warm servers are busy may go to a
-cold server that isn't idle either. Without this bound objects spread over more servers than could
-keep them until all work was cold: on a heavy day the share of worth earned fell from 0.81 to 0.56
-in one deployment and from 0.89 to 0.43 in another."""
+cold server that isn't idle either. Without this bound objects spread over more servers than can
+keep them, until all work is cold."""
 
 
 def may_queue(wait: float, response_time: float, goal: float, idle_response_time: float) -> bool:
     """Return whether a request may be sent to a server where it would queue.
 
     A request that queues and is late nevertheless takes a slot from one that could have met its
-    goal. With queues as long as the goal every answer was late and stayed so: in the third and
-    fourth second after the loss of all entries 155 of 1,491 requests met their goal, with this rule
-    840; in a burst 2,510 of 4,623 did, with this rule 3,100. A refused caller may retry and find a
-    shorter queue.
+    goal. With queues as long as the goal every answer stays late: in the third and fourth second
+    after the loss of all entries 155 of 1,491 requests met their goal. A refused caller may retry
+    and find a shorter queue.
 
     Parameters
     ----------
--- a/briarspur/gateway/chooser.py
+++ b/briarspur/gateway/chooser.py
@@ -218,9 +218,8 @@
         """Return a server of the entry's own zone if the object should be warmed up there now.
 
         An object's callers are spread evenly over the zones of a region, so with one warm server
-        half of its bytes always cross zones. On a quiet day warm copies reduced these bytes from 56
-        MB to 30 MB, while the share of worth earned fell from 0.958 to 0.939, since each copy costs
-        one caller the cold time.
+        half of its bytes always cross zones, which operators pay for. Each copy makes one caller
+        wait for the cold time, so an object is copied only once its accrued transfers cost more.
         """
         times = self._work.route(criteria.route.name, criteria.route.goal)
         cost = (
--- a/briarspur/gateway/preference.py
+++ b/briarspur/gateway/preference.py
@@ -5,8 +5,7 @@
 warm objects than its fair share is ranked lower, so that a region with many callers and few servers
 sends some of its objects to the other regions.
 
-Compared with one order over all regions, this reduced the bytes between regions from 12 to 4 MB on
-a quiet day with 27 MB of answers, while as many answers were in time.
+One order over all regions would send more bytes between regions, without more answers in time.
 """
 
 from collections.abc import Iterator, Sequence
--- a/briarspur/gateway/transit.py
+++ b/briarspur/gateway/transit.py
@@ -17,10 +17,8 @@
 """Cost per byte of a request and its answer that leaves the availability zone or the region.
 Operators pay for these bytes, and a link between regions carries 175 Mbit/s for all traffic. 60 kB
 count as 180 ms, so they stay in the zone unless its servers are busier than that; an answer of 400
-bytes may come from anywhere. Together with warm copies, 3e-6 reduced the bytes that cross zones on
-a quiet day of 13,000 requests to 30 MB, from 56 MB at 0.5e-6 without counting request bytes. At
-5e-6 and without a bound on warm copies the share of worth earned fell from 0.84 to 0.77 on a day
-with a burst."""
+bytes may come from anywhere. With a lower cost more bytes cross zones;
+with a higher one, and without a bound on warm copies, fewer answers are useful during a burst."""
 ASSUMED_S = {
     Distance.ZONE: SAME_ZONE_S,
     Distance.REGION: SAME_REGION_S,
