--- a/briarspur/gateway/gossip.py
+++ b/briarspur/gateway/gossip.py
@@ -157,8 +157,8 @@
     def _entry_news_received(self, news: News, now: float) -> bool:
         if not self.groups.is_grouped:
             return self._loads.received(news, now)
-        # An aggregator tells its members what it knows and nothing of its load, which is in the
-        # sums; those must not take the place of its news to the other aggregator.
+        # An aggregator's messages to its members contain no load, since the sums include it. These
+        # messages must not replace its news to the other aggregator, which contains its load.
         latest = (news.started, news.sequence)
         if latest <= self._latest_by_sender.get(news.entry_id, (0, 0)):
             return False
