--- a/briarspur/gateway/entryrecord.py
+++ b/briarspur/gateway/entryrecord.py
@@ -4,9 +4,9 @@
 from functools import lru_cache
 from zlib import crc32
 
-__all__ = ["DEFAULT_LINK_MBPS", "DEFAULT_PROCESSOR", "EntryRecord", "process_number"]
+__all__ = ["DEFAULT_LINK_MBPS", "DEFAULT_PROCESSOR_CORES", "EntryRecord", "process_number"]
 
-DEFAULT_PROCESSOR = 1.0
+DEFAULT_PROCESSOR_CORES = 1.0
 DEFAULT_LINK_MBPS = 1_000.0
 
 
@@ -40,7 +40,7 @@
     caller_port: int
     news_port: int
     peer_port: int
-    processor: float = DEFAULT_PROCESSOR
+    processor: float = DEFAULT_PROCESSOR_CORES
     link_mbps: float = DEFAULT_LINK_MBPS
 
     @property
--- a/briarspur/gateway/servernotice.py
+++ b/briarspur/gateway/servernotice.py
@@ -32,13 +32,13 @@
         applies.
     leaving : bool
         The server no longer accepts new work.
-    rest : float
-        Seconds from now on in which the server wants no requests from this entry.
+    backoff : float
+        Seconds from now on in which this entry must send the server no requests.
     """
 
     limit_per_s: float | None = None
     leaving: bool = False
-    rest: float = 0.0
+    backoff: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/briarspur/gateway/steering.py
+++ b/briarspur/gateway/steering.py
@@ -201,8 +201,8 @@
             self.limits.answered(target, notice.limit_per_s, now)
         if notice.leaving:
             self.targets.record_leaving(target, FROM_ANSWER, now)
-        if notice.rest > 0.0:
-            self.targets.record_backoff(target, notice.rest, now)
+        if notice.backoff > 0.0:
+            self.targets.record_backoff(target, notice.backoff, now)
 
     def record_notices(self, notices: ReportedNotices, now: float) -> None:
         """Record the notices that other entries received from servers."""
--- a/briarspur/interfaces.py
+++ b/briarspur/interfaces.py
@@ -10,14 +10,14 @@
 from briarspur.refusal import Answer
 
 __all__ = [
-    "CarryObserver",
     "Clock",
     "DecisionCore",
     "DelayedCall",
     "FetchedOutcome",
     "KeyStore",
-    "RegionPacer",
     "NoPacing",
+    "RegionPacer",
+    "RequestObserver",
     "Sender",
 ]
 
@@ -94,7 +94,7 @@
         """Read the outcome of a key that a terminated incarnation recorded."""
 
 
-class CarryObserver(Protocol):
+class RequestObserver(Protocol):
     """Counts requests and answers, and receives the notices of backend servers."""
 
     def arrived(self, request: Request) -> None:
--- a/briarspur/platform/documents.py
+++ b/briarspur/platform/documents.py
@@ -9,7 +9,7 @@
 from expression import Error, Ok, Result
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from briarspur.gateway.entryrecord import DEFAULT_LINK_MBPS, DEFAULT_PROCESSOR, EntryRecord
+from briarspur.gateway.entryrecord import DEFAULT_LINK_MBPS, DEFAULT_PROCESSOR_CORES, EntryRecord
 from briarspur.gateway.registration import Registration
 from briarspur.gateway.replica import Kind
 from briarspur.platform.faults import first_fault
@@ -51,7 +51,7 @@
     caller_port: int
     news_port: int
     peer_port: int
-    processor: float = Field(default=DEFAULT_PROCESSOR, gt=0.0)
+    processor: float = Field(default=DEFAULT_PROCESSOR_CORES, gt=0.0)
     link_mbps: float = Field(default=DEFAULT_LINK_MBPS, gt=0.0)
 
 
--- a/briarspur/platform/notices.py
+++ b/briarspur/platform/notices.py
@@ -27,7 +27,7 @@
     return ServerNotice(
         limit_per_s=_limit(headers, outcome),
         leaving=LEAVING in _parts(headers, names.SERVER_LEAVING),
-        rest=_backoff(headers) if status == UNAVAILABLE else 0.0,
+        backoff=_backoff(headers) if status == UNAVAILABLE else 0.0,
     )
 
 
--- a/briarspur/requestdriver.py
+++ b/briarspur/requestdriver.py
@@ -13,7 +13,6 @@
 from briarspur.backend import Outgoing
 from briarspur.codes import CODES, Code
 from briarspur.interfaces import (
-    CarryObserver,
     Clock,
     DecisionCore,
     DelayedCall,
@@ -21,6 +20,7 @@
     KeyStore,
     NoPacing,
     RegionPacer,
+    RequestObserver,
     Sender,
 )
 from briarspur.messages import (
@@ -79,7 +79,7 @@
         sender: Sender,
         clock: Clock,
         keys: KeyStore,
-        observer: CarryObserver,
+        observer: RequestObserver,
         settings: DriverSettings,
         pacer: RegionPacer | None = None,
     ) -> None:
--- a/tests/gateway/noticefleet.py
+++ b/tests/gateway/noticefleet.py
@@ -75,8 +75,8 @@
 
     def notice(self, now: float) -> ServerNotice:
         """Return the notice of a response sent now."""
-        rest = BACKOFF_S if self.backoff_span[0] <= now < self.backoff_span[1] else 0.0
-        return ServerNotice(self.limit(now), now >= self.leaves_at, rest)
+        backoff = BACKOFF_S if self.backoff_span[0] <= now < self.backoff_span[1] else 0.0
+        return ServerNotice(self.limit(now), now >= self.leaves_at, backoff)
 
     def latest_after_leaving(self) -> float:
         """Return how late the last request arrived after the first entry learned of its leaving."""
@@ -333,7 +333,7 @@
         self, name: str, server: NoticeServer, attempt: Attempt, transit_s: float, now: float
     ) -> None:
         server.arrivals.append((now, name))
-        if server.notice(now).rest > 0.0:
+        if server.notice(now).backoff > 0.0:
             self._at(now + transit_s, lambda at: self._reject(name, server, attempt, at))
             return
         work = WORK_S * self._rng.uniform(0.5, 1.5)
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -67,7 +67,7 @@
         async def check(caller: Recorder, exchange: Exchange, backends: list[RawBackend]) -> None:
             steering = exchange._services.steering
             now = the_reactor().seconds()
-            steering.record_notice(exchange.work.tried[0], ServerNotice(rest=5.0), now)
+            steering.record_notice(exchange.work.tried[0], ServerNotice(backoff=5.0), now)
             await eventually(lambda: caller.finished)
             self.assertEqual([Outcome.DEPARTED, Outcome.ANSWERED], caller.outcomes)
             self.assertEqual([0, 1], [len(backend.heads) for backend in backends])
--- a/tests/gateway/test_notice_machine.py
+++ b/tests/gateway/test_notice_machine.py
@@ -19,7 +19,7 @@
     ServerNotice,
     limit_per_s=st.sampled_from([None, NO_LIMIT, 0.0, 1.0, 3.0]),
     leaving=st.sampled_from([False, False, False, True]),
-    rest=st.sampled_from([0.0, 0.0, 0.3, 2.0]),
+    backoff=st.sampled_from([0.0, 0.0, 0.3, 2.0]),
 )
 
 
@@ -124,7 +124,7 @@
     def _model(self, number: int, notice: ServerNotice) -> None:
         if notice.leaving:
             self.leaving.add(number)
-        end = self.now + notice.rest
+        end = self.now + notice.backoff
         self.backoff_until[number] = max(self.backoff_until.get(number, 0.0), end)
         if notice.limit_per_s is not None:
             self.limits.setdefault(number, []).append((self.now, notice.limit_per_s))
--- a/tests/gateway/test_server_backoff.py
+++ b/tests/gateway/test_server_backoff.py
@@ -35,16 +35,16 @@
         """Guards against a later, shorter backoff that ends a longer one."""
         made = steering(1)
         target = sent(made, begun(made)).target
-        made.record_notice(target, ServerNotice(rest=3.0), 1.0)
-        made.record_notice(target, ServerNotice(rest=0.5), 1.2)
+        made.record_notice(target, ServerNotice(backoff=3.0), 1.0)
+        made.record_notice(target, ServerNotice(backoff=0.5), 1.2)
         self.assertTrue(target.is_backing_off(3.9))
         self.assertFalse(target.is_backing_off(4.0))
 
     def test_if_all_servers_back_off_retry_after_is_the_earliest_end(self) -> None:
         """Guards against callers that wait, or retry too early, while no server accepts work."""
         made = steering(2)
-        for target, rest in zip(made.targets.by_service["info"], (3.0, 2.0), strict=True):
-            made.record_notice(target, ServerNotice(rest=rest), 1.0)
+        for target, backoff in zip(made.targets.by_service["info"], (3.0, 2.0), strict=True):
+            made.record_notice(target, ServerNotice(backoff=backoff), 1.0)
         refused = made.next_attempt(begun(made, 1.5), 1.5)
         assert isinstance(refused, Refused)
         self.assertIs(Code.OVERLOADED, refused.code)
@@ -55,7 +55,7 @@
         """Guards against a backoff that also incurs the pause of a failed server."""
         made = steering(1)
         attempt = sent(made, begun(made))
-        made.record_notice(attempt.target, ServerNotice(rest=2.0), 0.1)
+        made.record_notice(attempt.target, ServerNotice(backoff=2.0), 0.1)
         made.attempt_ended(attempt, Outcome.REJECTED, 0.1)
         self.assertIsInstance(made.next_attempt(begun(made, 2.05), 2.05), Refused)
         self.assertIsInstance(made.next_attempt(begun(made, 2.2), 2.2), Attempt)
@@ -64,7 +64,7 @@
         made = steering(2)
         work = begun(made)
         first = sent(made, work)
-        made.record_notice(first.target, ServerNotice(rest=2.0), 0.1)
+        made.record_notice(first.target, ServerNotice(backoff=2.0), 0.1)
         made.attempt_ended(first, Outcome.REJECTED, 0.1)
         again = made.retry(work, Outcome.REJECTED, 0.1)
         assert isinstance(again, Attempt)
--- a/tests/platform/test_notices.py
+++ b/tests/platform/test_notices.py
@@ -88,7 +88,7 @@
     ) -> float:
         notice = read_notice(Headers({b"Retry-After": list(values)}), status, outcome)
         assert notice is not None
-        return notice.rest
+        return notice.backoff
 
     def test_fractions_of_seconds_are_accepted(self) -> None:
         self.assertEqual(2.5, self.backoff(b"2.5"))
