--- a/tests/test_limit_scenarios.py
+++ b/tests/test_limit_scenarios.py
@@ -140,8 +140,8 @@
     def test_a_burst_is_refused_at_once_and_bookings_continue(self) -> None:
         """Guards against bookings that time out during a burst of other requests.
 
-        A customer sends ten times its usual rate, which fills the queues and slots that bookings
-        need.
+        Callers of each region send 30 requests per step instead of one, which fills the queues and
+        slots that bookings need.
         """
         traffic = Traffic({"north": 1.0, "south": 1.0})
         traffic.run(5.0)
@@ -198,7 +198,8 @@
     def test_links_between_regions_are_cut_and_restored(self) -> None:
         """Guards against a region that gets all its callers back in one second, with cold caches.
 
-        The entries of the two regions can't reach one another for a while, then can again.
+        All entries of one region crash, its callers move to the other region, and 20 s later the
+        entries start again.
         """
         traffic = Traffic({"north": 2.4, "south": 2.4})
         traffic.run(10.0)
