--- a/briarspur/gateway/backendrequest.py
+++ b/briarspur/gateway/backendrequest.py
@@ -206,7 +206,7 @@
     # Response
 
     def response_started(self, head: AnswerHead) -> None:
-        """Record the server's notice at once, since the body may take long to arrive."""
+        """Record the server's notice immediately, since the body may take long to arrive."""
         self.head = head
         services = self._services
         notice = services.dialect.notice(head)
--- a/briarspur/gateway/chooser.py
+++ b/briarspur/gateway/chooser.py
@@ -43,8 +43,8 @@
 SPAN_COST_SHARE = 0.1
 """All servers up to a distance share one order if the network path costs at most this share of the
 extra work for a cold object. With an order per zone, an object needs a cold run in each zone, and a
-region with few servers gets more cold runs at once than it can handle: its callers' requests move
-to other regions and back within seconds."""
+region with few servers gets more simultaneous cold runs than it can handle: its callers' requests
+move to other regions and back within seconds."""
 SUSPECT_COST_S = 2.0
 """Cost of a suspected server for a request that can't be repeated elsewhere."""
 
--- a/briarspur/gateway/customers.py
+++ b/briarspur/gateway/customers.py
@@ -23,8 +23,8 @@
     priority : int
         0 is the most urgent priority.
     per_s, burst : float
-        Requests per second over all entries, and how many beyond them may arrive at once; no limit
-        if ``per_s`` is 0.
+        Requests per second over all entries, and how many beyond them may arrive in a burst; no
+        limit if ``per_s`` is 0.
     regions : frozenset of str
         Regions where its requests may run; empty for all.
     """
--- a/briarspur/gateway/following.py
+++ b/briarspur/gateway/following.py
@@ -97,7 +97,7 @@
 
         Confirmations that other entries received do not count. The transit delay would be lost at
         each hop of such news, and entries that exchange news every few milliseconds would keep the
-        last confirmation before an outage recent for ever: none of them would read the store again.
+        last confirmation before an outage recent forever: none of them would read the store again.
         """
         return self._clock() - self._read_at
 
--- a/briarspur/gateway/gossip.py
+++ b/briarspur/gateway/gossip.py
@@ -219,7 +219,7 @@
             self._relay.clear_warmed()
 
     def advertise(self, now: float, counts: Counter[int] | None = None) -> None:
-        """Send this entry's news to its group at once."""
+        """Send this entry's news to its group immediately."""
         self._advertise_counts(now, self._counts() + self._uses(now) if counts is None else counts)
         if self.groups.is_aggregator or (self.groups.is_grouped and self._fleet.leaving):
             self._last_sent_to_all_at = now
--- a/briarspur/gateway/leader.py
+++ b/briarspur/gateway/leader.py
@@ -6,7 +6,7 @@
 
 LEADER_TIMEOUT_S = 0.5
 """Time without sums from the first aggregator after which the second one sends them. Members
-consider one another gone after 1.2 s without any."""
+consider each other gone after 1.2 s without any."""
 START_DELAY_S = 0.3
 """Time after its start in which an aggregator receives the news of its members. Sums sent earlier
 would replace those of the previous leader by the aggregator's own requests alone."""
@@ -23,7 +23,7 @@
 
     The first aggregator leads as long as it is alive. The second one receives the same news; it
     replaces the first one until that is back and has received enough news. Two simultaneous leaders
-    do no harm, since the sums of one replace those of the other.
+    are harmless, since the sums of one replace those of the other.
     """
 
     def __init__(self, groups: GroupView) -> None:
--- a/briarspur/gateway/quota.py
+++ b/briarspur/gateway/quota.py
@@ -34,7 +34,7 @@
     Attributes
     ----------
     per_s, burst : float
-        Requests per second, and how many requests beyond them may arrive at once.
+        Requests per second, and how many requests beyond them may arrive in a burst.
     window : float
         Seconds over which requests are counted.
     """
--- a/briarspur/gateway/readtimes.py
+++ b/briarspur/gateway/readtimes.py
@@ -25,7 +25,7 @@
 charged for. Their watches wait for a short time only, because a watch confirms only when it ends
 that no change is missing."""
 RARELY_CHANGING_PACE = Pace(wait=4.0, pause=0.0)
-"""Other kinds change rarely, and their changes are reported at once. A watch that waits for 4 s
+"""Other kinds change rarely, and their changes are reported immediately. A watch that waits for 4 s
 detects a connection that stopped responding within 5 s."""
 ENTRIES_PACE = Pace(wait=8.0, pause=0.2)
 """The records of other entries may be late by 9 s, since their news show which entries are alive.
--- a/briarspur/gateway/replica.py
+++ b/briarspur/gateway/replica.py
@@ -22,7 +22,7 @@
 
 
 FOLLOWED = (Kind.CONFIGURATION, Kind.TARGETS, Kind.EVACUATIONS, Kind.ENTRIES)
-"""Kinds whose changes entries must receive at once; warmth is read only at the start."""
+"""Kinds whose changes entries must receive immediately; warmth is read only at the start."""
 
 
 class ChangeSource(Enum):
--- a/briarspur/gateway/serverlimits.py
+++ b/briarspur/gateway/serverlimits.py
@@ -1,7 +1,7 @@
 """Enforces the limits that backend servers advertise in their responses, over all entries together.
 
 This covers the case where many entries send an overloaded server more requests than it accepts,
-while each entry receives only one response from it in seconds. Entries report to one another the
+while each entry receives only one response from it in seconds. Entries report to each other the
 limits that they received and how many requests they sent, and admit requests by the total, as they
 do for customers.
 """
@@ -221,7 +221,7 @@
         """Return a quota of what the limit allowed over the window and allows within the horizon.
 
         With the current limit alone, a decrease would stop all requests for seconds, and an
-        increase would admit those of a whole window at once.
+        increase would admit those of a whole window in one burst.
         """
         live_share = self.live / max(self.live, self.recorded)
         return Quota(limit.history.mean(now), limit.per_s * HORIZON_S, WINDOW_S).scaled(live_share)
--- a/briarspur/gateway/sync.py
+++ b/briarspur/gateway/sync.py
@@ -103,7 +103,7 @@
         return self._failures > 0 and self._clock() - self._failed_at <= FAILURE_EXPIRY_S
 
     def is_current(self, now: float) -> bool:
-        """Return whether changes arrive at once: a watch is open, or ended a moment ago."""
+        """Return whether changes arrive immediately: a watch is open, or ended a moment ago."""
         if self.is_failing or self.replica.revision == 0:
             return False
         return self._call is not None or now - self.current_at <= WATCH_GAP_S
@@ -123,8 +123,9 @@
             except _RecheckError:
                 continue
             except HistoryGoneError:
-                # The store answers, so list at once. With a wait here, an entry that had been cut
-                # off from the store was late by 1 s more, and by up to 2 s with its retry delays.
+                # The store answers, so list immediately. With a wait here, an entry that had been
+                # cut off from the store was late by 1 s more, and by up to 2 s with its retry
+                # delays.
                 logs.event("history-gone", kind=self.replica.kind.name)
                 listing = answered = True
                 continue
@@ -148,7 +149,7 @@
             self._on_changes(self.replica.kind, applied, source)
 
     def recheck(self) -> None:
-        """Cancel a watch that may hang, and call the store again at once.
+        """Cancel a watch that may hang, and call the store again immediately.
 
         A store that stops responding never answers the watches that are open, not even once it is
         reachable again: a change made then would be received only when the watch times out, seconds
--- a/briarspur/gateway/targettable.py
+++ b/briarspur/gateway/targettable.py
@@ -132,8 +132,8 @@
         for target in self._by_id.values():
             if target.registration.zone in returned:
                 # Servers of a returned zone may have lost their caches, and a cold server that gets
-                # its usual load at once crashes. A registration from before the return doesn't show
-                # whether it is cold, so only later ones are trusted.
+                # its usual load immediately crashes. A registration from before the return doesn't
+                # show whether it is cold, so only later ones are trusted.
                 target.cold_until = max(target.cold_until, now + EVACUATION_COLD_S)
                 target.warmth.clear()
         self._rebuild()
--- a/briarspur/gateway/warmthkeeper.py
+++ b/briarspur/gateway/warmthkeeper.py
@@ -30,10 +30,10 @@
 class WarmthKeeper:
     """Reads the record once at the start; one entry of the fleet writes it.
 
-    When all entries fail at once, the servers still have their objects in memory, but no entry
-    knows which. Without the record, entries that start would send each object to the first server
-    in its order of preference. Many of these servers would need a cold run for it, in addition to
-    the load of the requests that come back.
+    When all entries fail at the same time, the servers still have their objects in memory, but no
+    entry knows which. Without the record, entries that start would send each object to the first
+    server in its order of preference. Many of these servers would need a cold run for it, in
+    addition to the load of the requests that come back.
 
     Parameters
     ----------
--- a/tests/gateway/followers.py
+++ b/tests/gateway/followers.py
@@ -1,4 +1,4 @@
-"""A few entries that follow a fake store and pull from one another over loopback."""
+"""A few entries that follow a fake store and pull from each other over loopback."""
 
 import asyncio
 import random
--- a/tests/gateway/simulatedstore.py
+++ b/tests/gateway/simulatedstore.py
@@ -91,7 +91,7 @@
     dropped_paths : set of (str, str)
         Paths, as sender and receiver, on which all messages are lost without an error.
     refused : set of str
-        Entries whose calls the store refuses at once.
+        Entries whose calls the store refuses immediately.
     frozen : set of str
         Entries that do nothing.
     connections_died_at : dict
--- a/tests/gateway/test_departure_spread.py
+++ b/tests/gateway/test_departure_spread.py
@@ -186,8 +186,9 @@
         """Guards against requests to a server 3.17 s after the store acknowledged its departure.
 
         Entries without fresh news for 1.6 s call the store themselves; this happened to whole zones
-        at once even without faults, since the news of one reader were that old. If such an entry
-        relies on its own call alone, it copies nothing from others while the call hangs for 1.5 s.
+        at the same time even without faults, since the news of one reader were that old. If such an
+        entry relies on its own call alone, it copies nothing from others while the call hangs for
+        1.5 s.
         """
         for fault in FAULTS:
             self.check(fault)
--- a/tests/gateway/test_exchange_notices.py
+++ b/tests/gateway/test_exchange_notices.py
@@ -11,7 +11,7 @@
 def with_headers(script: Script, *lines: bytes) -> Script:
     """Return a script whose response has additional header lines."""
 
-    async def plays(connection: Connection, head: bytes) -> None:
+    async def run_script(connection: Connection, head: bytes) -> None:
         write = connection.writer.write
         with_lines = b"\r\n" + b"".join(line + b"\r\n" for line in lines)
         connection.writer.write = lambda data: write(  # type: ignore[method-assign]
@@ -19,7 +19,7 @@
         )
         await script(connection, head)
 
-    return plays
+    return run_script
 
 
 class NoticeTest(ExchangeCase):
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -46,7 +46,7 @@
         self.assertEqual(1, self.fleet.seen_size(LIVENESS_TIMEOUT_S + 0.1))
 
     def test_an_older_entry_is_one_that_is_seen_and_started_long_before(self) -> None:
-        """Guards against entries that restart together and take each other for older ones."""
+        """Guards against entries that restart together and regard each other as older."""
         fleet = Fleet(record("me", started=20_000))
         fleet.recorded(record("twin", started=19_500))
         fleet.record_seen(alive("twin", started=19_500), 0.0)
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -67,7 +67,7 @@
         self.run_on_loop(work())
 
     def test_a_restarted_entry_of_a_small_fleet_reads_the_store_at_once(self) -> None:
-        """Guard against entries that wait for one another after a loss of power of all of them.
+        """Guard against entries that wait for each other after a loss of power of all of them.
 
         Each waited for the news of others, which had no copies either: 1,244 callers were refused
         in the half second until the first entry read the store.
@@ -150,7 +150,7 @@
     def test_followers_dont_confirm_one_anothers_copies(self) -> None:
         """Guard against stale copies when the store refuses only the two readers, for 9 s.
 
-        The others advertised the ages of their copies to one another, each without the transit
+        The others advertised the ages of their copies to each other, each without the transit
         delay, so the ages never grew. No entry read the store, and a configuration came into force
         9 s late.
         """
--- a/tests/gateway/test_groups.py
+++ b/tests/gateway/test_groups.py
@@ -24,7 +24,7 @@
 
 
 class Net:
-    """Delivers messages to all entries that aren't cut off, at once unless faults are injected."""
+    """Delivers messages to entries that aren't cut off; without injected faults, immediately."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -192,7 +192,7 @@
                 self.assertEqual({size}, live)
 
     def test_killed_aggregators_are_replaced_and_nothing_counts_twice(self) -> None:
-        """Guards against servers that look too busy or idle, or entries taken for dead."""
+        """Guards against servers that look too busy or idle, or live entries regarded as dead."""
         for killed in ((0,), (1,), (0, 1)):
             with self.subTest(killed):
                 net, entries = fleet(60)
--- a/tests/gateway/test_newsdelay.py
+++ b/tests/gateway/test_newsdelay.py
@@ -26,7 +26,7 @@
         """Guards against requests to a server that left while the entry was stopped.
 
         After a stop of 3 s, the first news that the entry reads are 3 s old and contain data that
-        was 0.3 s old when they were sent. An entry that takes this data for current keeps sending
+        was 0.3 s old when they were sent. An entry that regards this data as current keeps sending
         requests to the server.
         """
         for number in range(20):
--- a/tests/gateway/test_notice_machine.py
+++ b/tests/gateway/test_notice_machine.py
@@ -46,7 +46,7 @@
 
     @rule(number=st.integers(1, 12))
     def requests_arrive(self, number: int) -> None:
-        """Send some requests at once."""
+        """Send some requests at the same time."""
         for _ in range(number):
             self.count += 1
             work = begun(self.steering, self.now, request_id=f"r-{self.count}", key=None)
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -124,9 +124,9 @@
     def test_callers_are_served_in_time_soon_after_all_entries_restarted(self) -> None:
         """Guards against queues that stay full after all entries restarted.
 
-        Callers that waited for the entries retry at once: 720 requests arrive at servers that can
-        serve 109 per second, and 100 per second follow. When a request could queue for as long as
-        its goal, queues stayed that long: of the 500 requests of the next five seconds 133 were
+        Callers that waited for the entries retry immediately: 720 requests arrive at servers that
+        can serve 109 per second, and 100 per second follow. When a request could queue for as long
+        as its goal, queues stayed that long: of the 500 requests of the next five seconds 133 were
         answered in time and 364 late. With requests refused that would be late, 484 are in time.
         """
         core = steering(TARGETS, [route(timeout=TIMEOUT)], slots=SLOTS)
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -1,4 +1,4 @@
-"""Tests of quotas in simulated fleets of entries that receive one another's counts late."""
+"""Tests of quotas in simulated fleets of entries that receive each other's counts late."""
 
 import random
 import unittest
--- a/tests/gateway/test_steering.py
+++ b/tests/gateway/test_steering.py
@@ -140,7 +140,7 @@
         self.assertIn(lost.target, again)
 
     def test_the_error_rate_decays_without_answers(self) -> None:
-        """Guards against avoiding a server for ever after it failed for some seconds."""
+        """Guards against avoiding a server forever after it failed for some seconds."""
         core = steering(1)
         target = core.targets.by_service["info"][0]
         for _ in range(20):
--- a/tests/gateway/test_warmthkeeper.py
+++ b/tests/gateway/test_warmthkeeper.py
@@ -59,7 +59,7 @@
 @patch.object(warmthkeeper, "WRITE_PERIOD_S", 0.01)
 @patch.object(warmthkeeper, "LOAD_RETRY_S", 0.01)
 class KeeperTest(LoopTestCase):
-    """All entries restart at once while the servers still have their objects in memory."""
+    """All entries restart at the same time while the servers still have their objects in memory."""
 
     def run_keeper(
         self,
