--- a/briarspur/coord/claims.py
+++ b/briarspur/coord/claims.py
@@ -95,8 +95,8 @@
     max_concurrent : int
         Maximum number of concurrent store calls.
     max_queued : int
-        Maximum number of claims that wait for a store call. Further claims are unsettled at once,
-        so that their callers are refused immediately and not after the store's timeout.
+        Maximum number of claims that wait for a store call. Further claims are unsettled
+        immediately, so that their callers are not refused only after the store's timeout.
     max_attempts : int
         Maximum number of calls to settle a claim whose answer was lost.
     retry_delay : float
--- a/briarspur/coord/escrow.py
+++ b/briarspur/coord/escrow.py
@@ -201,7 +201,7 @@
         self._borrowed_by_id.setdefault(transfer_id, Loan(granted, requested_at + lifetime))
 
     def set_base(self, base: int, now: float) -> None:
-        """Set a new share: a smaller one applies at once, a larger one after the hold-off.
+        """Set a new share: a smaller one applies immediately, a larger one after the hold-off.
 
         Another member may still use the units that this one gains, until it has received its own
         smaller share and the work it accepted before that has ended.
@@ -215,7 +215,7 @@
             self._next_base = Loan(base, now + self._hold_off())
 
     def set_max_use(self, max_use: float, now: float) -> None:
-        """Set the maximum duration of work: a shorter one applies at once, a longer one later.
+        """Set the maximum duration of work: a shorter one applies immediately, a longer one later.
 
         Until every member knows the longer duration, the hold-off of some member may be too short,
         and that member would use units on which such work still runs. The hold-off of this account
@@ -258,8 +258,8 @@
     def _min_free(self, now: float, until: float) -> int:
         """Return the minimum of held minus used units over all times from ``now`` to ``until``.
 
-        The difference shrinks only when a loan to this member expires, so it suffices to look at
-        these times and at ``now``.
+        The difference shrinks only when a loan to this member expires, so it suffices to check
+        these times and ``now``.
         """
         ends = [loan.until for loan in self._borrowed_by_id.values() if now < loan.until < until]
         return min(self._held_at(time) - self._used_at(time, now) for time in [now, *ends])
--- a/briarspur/coord/invariants.py
+++ b/briarspur/coord/invariants.py
@@ -14,7 +14,7 @@
     ----------
     strict : bool
         Raise :class:`InvariantError` on a violation. Tests set it; daemons only count and log
-        violations, because a wrong counter harms callers less than a dead process.
+        violations, because a wrong counter affects callers less than a terminated process.
     violations_by_name : Counter[str]
         Number of violations of each invariant.
     """
--- a/briarspur/coord/lease.py
+++ b/briarspur/coord/lease.py
@@ -139,7 +139,7 @@
         """Whether this process took the lease and does not know that it has lost it.
 
         The lease may be lost nevertheless, so use this only for work that two processes may do at
-        the same time without harm.
+        the same time without conflict.
         """
         return self._base is not None
 
--- a/briarspur/coord/membership.py
+++ b/briarspur/coord/membership.py
@@ -117,7 +117,7 @@
         """Return whether heartbeats arrive from less than half of the region, or from nobody."""
         is_silent = now - self._last_received_at > self._settings.suspicion_timeout
         # With only two members, the survivor of a crash would never declare the other gone. With
-        # more members, it is rare that all others fail at once.
+        # more members, it is rare that all others fail at the same time.
         return (is_silent and self.table.count_others() > 1) or self.table.sees_minority()
 
     def has_contact(self) -> bool:
@@ -282,7 +282,7 @@
     def _piggyback(self, receiver: str) -> tuple[MemberUpdate, ...]:
         """Return the updates for one message: new ones, least often sent first, then others.
 
-        The receiver's own state goes first, so that it can refute a suspicion at once.
+        The receiver's own state goes first, so that it can refute a suspicion immediately.
         """
         chosen: dict[str, None] = {self.own_member.member_id: None}
         known = self.table.record_by_id.get(receiver)
--- a/briarspur/coord/outlier.py
+++ b/briarspur/coord/outlier.py
@@ -5,8 +5,8 @@
 doubles with each ejection. Afterwards the server is on probation: one failure ejects it again, and
 a number of consecutive successes ends the probation.
 
-At most half of the servers are excluded. If more than half are ejected at once, the cause is more
-likely what they have in common (the link, this member, a backing service) than each server.
+At most half of the servers are excluded. If more than half are ejected at the same time, the cause
+is more likely what they have in common (the link, this member, a backing service) than each server.
 Excluding them would send all traffic to the few that look healthy, so then none is excluded.
 """
 
--- a/briarspur/coord/quarantine.py
+++ b/briarspur/coord/quarantine.py
@@ -130,7 +130,7 @@
         Returns
         -------
         list of Verdict
-            Verdicts on these requests, to be sent to the other members at once.
+            Verdicts on these requests, to be sent to the other members immediately.
         """
         suspect_digests = set(suspects)
         for digest in suspect_digests:
--- a/briarspur/coord/shift.py
+++ b/briarspur/coord/shift.py
@@ -115,7 +115,7 @@
         self.set_shares(share_by_kind, -math.inf)
 
     def set_shares(self, share_by_kind: Mapping[str, ShiftCap], now: float) -> None:
-        """Set the shares of a new policy: smaller ones apply at once, larger ones later.
+        """Set the shares of a new policy: smaller ones apply immediately, larger ones later.
 
         A larger share applies after the propagation time. Until then, the member that gives up
         this growth may still use its previous, larger share. Counts of the current and the previous
--- a/tests/coord/test_lease.py
+++ b/tests/coord/test_lease.py
@@ -133,7 +133,7 @@
         self.assertTrue(await self.a.lease.renew_or_acquire())
 
     async def test_lease_counts_from_before_the_renewal_was_sent(self) -> None:
-        """If a holder counted from the answer to a 3 s renewal, two planners would act at once."""
+        """If a holder counted from the answer to a 3 s renewal, two planners would be active."""
         await self.acquire(self.a)
         self.now += 2.0
         self.store.hold_calls = True
--- a/tests/coord/test_membership.py
+++ b/tests/coord/test_membership.py
@@ -145,7 +145,7 @@
             self.assertIsNotNone(each.by_incarnation(new))
 
     def test_an_unlisted_member_stays_while_its_heartbeats_arrive(self) -> None:
-        """Guard against healthy entries that are dropped from every look-up at once.
+        """Guard against healthy entries that are dropped from every look-up together.
 
         The VM list lagged, or the response contained only a part of it.
         """
--- a/tests/coord/test_outcomes.py
+++ b/tests/coord/test_outcomes.py
@@ -47,7 +47,7 @@
         self.assertEqual(memory.admit_request(make_key(), DIGEST, "a", 0.0, WALL), MemoryFull())
 
     def test_reader_with_a_slow_clock_reports_a_removed_key_as_forgotten(self) -> None:
-        """A passenger must not be told `not run` and book a second taxi.
+        """A passenger must not receive `not run` and book a second taxi.
 
         The key ran, expired and was removed before the stop. The reader's clock is behind, so the
         key seems unexpired to it, and the page does not contain the key.
--- a/tests/coord/test_ramp.py
+++ b/tests/coord/test_ramp.py
@@ -26,8 +26,8 @@
     def test_stays_at_one_while_cold_and_grows_once_warm(self) -> None:
         """Guard against a minute of slow responses after a region took over another's traffic.
 
-        The caches of its servers are cold, and using all slots at once keeps every response slow.
-        The latency of the responses shows when the caches are filled.
+        The caches of its servers are cold, and using all slots immediately keeps every response
+        slow. The latency of the responses shows when the caches are filled.
         """
         ramp = Ramp(3, reference=FAST)
         self.assertEqual(ramp.limit(0.0), 1)
--- a/tests/coord/test_shift.py
+++ b/tests/coord/test_shift.py
@@ -29,7 +29,7 @@
         self.budget = ShiftBudget(CAPS)
 
     def test_away_traffic_grows_by_the_cap_each_window(self) -> None:
-        """An entry repeatedly receives a plan that moves all traffic at once."""
+        """An entry repeatedly receives a plan that moves all traffic in one step."""
         carried = [admit_many(self.budget, "south", "planned", 5.0 * n, 100) for n in range(4)]
         self.assertEqual(carried, [2, 4, 6, 8])
 
@@ -50,7 +50,7 @@
         self.assertEqual(admit_many(self.budget, "north", "planned", 5.0, 500), 500)
 
     def test_traffic_that_returns_home_is_capped(self) -> None:
-        """Guard against overload of a region that just recovered: all its callers return at once.
+        """Guard against overload of a region that just recovered: all its callers return together.
 
         It lost its caches in the outage, so its traffic must return in steps.
         """
