--- a/briarspur/channel.py
+++ b/briarspur/channel.py
@@ -54,9 +54,9 @@
 class CallerChannel(HTTPChannel):
     """One connection of a caller.
 
-    Invalid input is refused at once with a result code, even if the request is incomplete. The rest
-    of the input is read and discarded for :data:`LINGER_S`: closing with unread bytes would make
-    the kernel reset the connection, and the caller would see the reset and not its answer.
+    Invalid input is refused immediately with a result code, even if the request is incomplete. The
+    rest of the input is read and discarded for :data:`LINGER_S`: closing with unread bytes would
+    make the kernel reset the connection, and the caller would see the reset and not its answer.
     """
 
     def __init__(self, factory: "ChannelFactory") -> None:
@@ -73,7 +73,7 @@
         self.head_received = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Refuse the caller at once if there are too many connections."""
+        """Refuse the caller immediately if there are too many connections."""
         super().connectionMade()
         self.factory.channels.add(self)
         if len(self.factory.channels) > self.factory.limits.callers:
--- a/briarspur/daemon.py
+++ b/briarspur/daemon.py
@@ -96,7 +96,7 @@
     reactor = cast(asyncioreactor.AsyncioSelectorReactor, installed_reactor)
     serve_task = loop.create_task(_serve(name, build))
     serve_task.add_done_callback(lambda _: reactor.stop())
-    # The reactor's own signal handlers would stop it at once; those that _serve installs let
+    # The reactor's own signal handlers would stop it immediately; those that _serve installs let
     # requests in flight finish first.
     reactor.run(installSignalHandlers=False)
     error = serve_task.exception()
--- a/briarspur/follow.py
+++ b/briarspur/follow.py
@@ -21,7 +21,7 @@
 MAX_PUSH_BYTES = 65_536
 """Larger objects are not pushed; peers fetch them once, when they learn of the version."""
 IDLE_DELAY_S = 0.2
-"""Delay after a call that returned nothing new, in case the store responds at once."""
+"""Delay after a call that returned nothing new, in case the store responds immediately."""
 
 
 class ObjectPeers(Protocol):
--- a/briarspur/keystore.py
+++ b/briarspur/keystore.py
@@ -75,8 +75,8 @@
 
         During an outage of the store each claim waits for a timeout, often until its caller's
         deadline. Once the oldest pending claim is slow, or the outcome of one is unknown, other
-        claims are refused at once. The pending claim, or one claim after each pause, shows when the
-        store is available again.
+        claims are refused immediately. The pending claim, or one claim after each pause, shows when
+        the store is available again.
         """
         now = self._clock()
         if now < self._unsettled_until:
--- a/briarspur/placement.py
+++ b/briarspur/placement.py
@@ -112,8 +112,8 @@
     def set_limit(self, share: int, now: float, settings: EscrowSettings) -> None:
         """Set this entry's share of the region's in-flight limit from a new policy.
 
-        The first share is usable at once, except for the part that an earlier process of this entry
-        may have lent. Later changes take effect by the rules of the account.
+        The first share is usable immediately, except for the part that an earlier process of this
+        entry may have lent. Later changes take effect by the rules of the account.
         """
         if self._has_limit:
             self.account.set_max_use(settings.max_use, now)
@@ -239,8 +239,8 @@
     def _may_queue(self, work: Work, now: float) -> bool:
         """Return whether a request that waits here is likely to finish before its deadline.
 
-        A request that would miss its deadline is refused at once. Otherwise it would occupy a slot
-        that another request could use, and its caller would be refused only at the deadline.
+        A request that would miss its deadline is refused immediately. Otherwise it would occupy a
+        slot that another request could use, and its caller would be refused only at the deadline.
         """
         if work.region != self.region or self._queue_limit == 0:
             return False
--- a/briarspur/propagation.py
+++ b/briarspur/propagation.py
@@ -37,7 +37,7 @@
     max_store_rate : float
         Calls per second that all processes together may make to a failing store.
     push_fanout : int
-        Peers to which a process offers a new version at once.
+        Peers to which a process offers a new version immediately.
     min_peers_asked : int
         Peers that must report to a new process, while the store fails, before it trusts the
         newest version among them.
--- a/briarspur/splits.py
+++ b/briarspur/splits.py
@@ -15,7 +15,7 @@
 """Decimal digits of a share; less than a thousandth of the callers doesn't justify a plan."""
 
 MAX_SHARE_CHANGE = 0.25
-"""Maximum change of a share in one step; demand measured as zero may return at once."""
+"""Maximum change of a share in one step; demand measured as zero may return suddenly."""
 
 
 def step_within_caps(
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -22,7 +22,7 @@
 
 
 class StartTest(unittest.TestCase):
-    """After a power failure all gateways start at once, and each import delays all callers."""
+    """After a power failure all gateways start together, and each import delays all callers."""
 
     def test_a_gateway_imports_no_modules_of_the_other_programs(self) -> None:
         """Guards against slower starts due to modules that the gateway never uses."""
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -15,7 +15,7 @@
         """A daemon must exit when it is stopped, so that its VM can be replaced.
 
         Twisted's default endpoint calls a resolver in a thread pool even for an IP address; the
-        pool's threads wait for ever and prevent the process from exiting.
+        pool's threads wait forever and prevent the process from exiting.
         """
 
         async def work() -> None:
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -29,7 +29,7 @@
 
 
 class Fleet:
-    """Entries that reach one another in memory and probe one random peer each second."""
+    """Entries that reach each other in memory and probe one random peer each second."""
 
     def __init__(self, count: int, zones: Sequence[str] = ZONES) -> None:
         self.rng = random.Random(3)
@@ -208,7 +208,7 @@
     """A bug that one version triggers does not prevent later versions from being applied."""
 
     def test_later_version_is_applied(self) -> None:
-        """An entry must not keep an old policy for ever when later ones are valid.
+        """An entry must not keep an old policy forever when later ones are valid.
 
         One version triggers a bug, and the exception ends the task that follows the policy.
         """
--- a/tests/test_propagation.py
+++ b/tests/test_propagation.py
@@ -26,7 +26,7 @@
             process.set_members(zones_by_member)
 
     def calls_by_second(self, outage: float, until: float) -> Counter[int]:
-        """Return the calls in each second; every call before ``outage`` seconds fails at once."""
+        """Return the calls in each second; calls before ``outage`` seconds fail immediately."""
         calls: Counter[int] = Counter()
         due = [(0.0, n, name, 0) for n in range(len(self.processes)) for name in OBJECTS]
         last_by_follower: dict[tuple[int, str], CallKind] = {}
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -99,7 +99,7 @@
 
 
 class BadInputTest(LoopTestCase):
-    """Invalid input is refused at once with a result code, and does not affect other callers."""
+    """Invalid input is refused immediately with a result code and does not affect other callers."""
 
     def expect(self, request: bytes, code: Code, limits: LimitSettings = SMALL) -> None:
         """Check the answer to ``request``, and that another caller is served after it."""
