--- a/briarspur/gateway/newsdelay.py
+++ b/briarspur/gateway/newsdelay.py
@@ -38,9 +38,9 @@
 
     A message contains the age of its sender's data, but not how long it waited in a queue: that of
     a full link, or of a process that is busy or was stopped. Without the delay, an entry that was
-    stopped for 3 s took the messages received meanwhile for fresh, and a departure from 3.3 s ago
-    for one from 0.6 s ago. The two clocks differ by a fixed amount, so the excess over the minimum
-    difference is the delay.
+    stopped for 3 s regarded the messages received meanwhile as fresh, and a departure from 3.3 s
+    ago as one from 0.6 s ago. The two clocks differ by a fixed amount, so the excess over the
+    minimum difference is the delay.
     """
 
     def __init__(self) -> None:
