--- a/briarspur/backend.py
+++ b/briarspur/backend.py
@@ -269,8 +269,8 @@
             events.body_ended()
             return
         # A body that is delimited only by the end of its connection can't be distinguished from a
-        # truncated one, so it counts as truncated: a caller must never take half of a chart pack
-        # for a complete one.
+        # truncated one, so it counts as truncated: a caller must never regard half of a chart
+        # pack as a complete one.
         detail = "no length" if reason.check(PotentialDataLoss) else _reason(reason)
         crashed = not reason.check(PotentialDataLoss)
         self.fail(AttemptError(Failure.CUT_SHORT, detail, crashed))
--- a/briarspur/gateway/connection.py
+++ b/briarspur/gateway/connection.py
@@ -66,7 +66,7 @@
 
     Bytes received while no request is pending close the connection. A duplicate response to an
     earlier request, which some servers send late, is read and discarded: otherwise it would be
-    taken for the response to the pending request and delivered to the wrong caller.
+    regarded as the response to the pending request and delivered to the wrong caller.
 
     Attributes
     ----------
--- a/briarspur/gateway/steering.py
+++ b/briarspur/gateway/steering.py
@@ -352,7 +352,7 @@
 
         A server keeps about 25 objects. A burst spreads objects over more servers than can keep
         them. If all these servers stayed in use, each request would evict the object of another
-        one: 20 % of the requests took the cold time for as long as the load lasted. So requests for
+        one: 20 % of the requests needed cold runs for as long as the load lasted. So requests for
         the object return to the servers that still hold it.
         """
         key = work.key
--- a/briarspur/gateway/sync.py
+++ b/briarspur/gateway/sync.py
@@ -88,8 +88,8 @@
         self._lost_at: float | None = None
         self.current_at = float("-inf")
         # Time up to which the last answer includes all changes. The time at which it is read can't
-        # be used: a busy process reads it late, and others took its copies for 1.2 s more recent
-        # than they were.
+        # be used: a busy process reads it late, and others regarded its copies as 1.2 s more
+        # recent than they were.
         self._as_of = float("-inf")
         self._call: asyncio.Task[Batch] | None = None
         self.answered_calls = 0
