--- a/briarspur/gateway/chooser.py
+++ b/briarspur/gateway/chooser.py
@@ -43,8 +43,8 @@
 SPAN_COST_SHARE = 0.1
 """All servers up to a distance share one order if the network path costs at most this share of the
 extra work for a cold object. With an order per zone, an object needs a cold run in each zone, and a
-region with few servers gets more cold runs at once than it can handle: its callers' requests move
-to other regions and back within seconds."""
+region with few servers gets more simultaneous cold runs than it can handle: its callers' requests
+move to other regions and back within seconds."""
 SUSPECT_COST_S = 2.0
 """Cost of a suspected server for a request that can't be repeated elsewhere."""
 
@@ -218,9 +218,8 @@
         """Return a server of the entry's own zone if the object should be warmed up there now.
 
         An object's callers are spread evenly over the zones of a region, so with one warm server
-        half of its bytes always cross zones. On a quiet day warm copies reduced these bytes from 56
-        MB to 30 MB, while the share of worth earned fell from 0.958 to 0.939, since each copy costs
-        one caller the cold time.
+        half of its bytes always cross zones, which operators pay for. Each copy makes one caller
+        wait for the cold time, so an object is copied only once its accrued transfers cost more.
         """
         times = self._work.route(criteria.route.name, criteria.route.goal)
         cost = (
--- a/briarspur/gateway/steering.py
+++ b/briarspur/gateway/steering.py
@@ -201,8 +201,8 @@
             self.limits.answered(target, notice.limit_per_s, now)
         if notice.leaving:
             self.targets.record_leaving(target, FROM_ANSWER, now)
-        if notice.rest > 0.0:
-            self.targets.record_backoff(target, notice.rest, now)
+        if notice.backoff > 0.0:
+            self.targets.record_backoff(target, notice.backoff, now)
 
     def record_notices(self, notices: ReportedNotices, now: float) -> None:
         """Record the notices that other entries received from servers."""
@@ -352,7 +352,7 @@
 
         A server keeps about 25 objects. A burst spreads objects over more servers than can keep
         them. If all these servers stayed in use, each request would evict the object of another
-        one: 20 % of the requests took the cold time for as long as the load lasted. So requests for
+        one: 20 % of the requests needed cold runs for as long as the load lasted. So requests for
         the object return to the servers that still hold it.
         """
         key = work.key
