--- a/briarspur/node.py
+++ b/briarspur/node.py
@@ -211,7 +211,7 @@
         home = self._blocks.home(block)
         return self._lookups.answer(service, block, home, self._clock.wall())
 
-    # Events of the request driver; see CarryObserver
+    # Events of the request driver; see RequestObserver
 
     def arrived(self, request: Request) -> None:
         """Count a caller's request; a forwarded one was counted by the entry that forwarded it."""
