--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a deployment in small, some seconds of mixed load, and what an operator does meanwhile.
+"""Run a small deployment under mixed load for some seconds while an operator makes changes.
 
 It exits with 0 only if nothing was lost or doubled.
 """
--- a/tools/faultsoak.py
+++ b/tools/faultsoak.py
@@ -164,7 +164,7 @@
     async def _inject_path_fault(self, name: str) -> None:
         proxy = self.deployment.proxies[name]
         self._record_disturbance()
-        harm = self._rng.choice(
+        fault = self._rng.choice(
             (
                 Fault(delay=0.15),
                 Fault(drop_requests=True),
@@ -175,10 +175,10 @@
         )
         if self._rng.random() < 0.3:
             proxy.reset()
-        proxy.fault = harm
+        proxy.fault = fault
         await asyncio.sleep(self._rng.uniform(0.3, 3.0))
         proxy.fault = Fault()
-        if harm.drop_requests or harm.drop_responses:
+        if fault.drop_requests or fault.drop_responses:
             proxy.reset()
         self._record_disturbance()
         self._notices.record_fault(name)
