--- a/tests/test_limit_scenarios.py
+++ b/tests/test_limit_scenarios.py
@@ -195,11 +195,10 @@
         self.check_limits(traffic)
         self.drain(traffic)
 
-    def test_links_between_regions_are_cut_and_restored(self) -> None:
-        """Guards against a region that gets all its callers back in one second, with cold caches.
+    def test_all_entries_of_a_region_crash_and_restart(self) -> None:
+        """Guards against exceeding limits or caps when all entries of a region crash and restart.
 
-        All entries of one region crash, its callers move to the other region, and 20 s later the
-        entries start again.
+        The callers of that region move to the other one; 20 s later the entries start again.
         """
         traffic = Traffic({"north": 2.4, "south": 2.4})
         traffic.run(10.0)
