--- a/briarspur/entry.py
+++ b/briarspur/entry.py
@@ -190,7 +190,8 @@
                 await self.store.put(page.name, page.value, ABSENT)
                 return True
             except StoreConflictError:
-                # Only this process writes these pages, so an earlier attempt succeeded.
+                # Only this process writes these pages: the conflict shows that an earlier
+                # attempt succeeded.
                 return True
             except StoreError:
                 await asyncio.sleep(OUTCOME_RETRY_DELAY_S)
--- a/briarspur/gateway/backendrequest.py
+++ b/briarspur/gateway/backendrequest.py
@@ -163,8 +163,8 @@
             return
         # While the connection was being made, the server may have left or requested a backoff, or
         # its zone may have been evacuated. Connecting adds up to 0.5 s to the time until this entry
-        # learns of the change, so a request routed just before would reach the server later than
-        # its operators were promised.
+        # learns of the change, so a request routed just before the change would reach the server
+        # later than is guaranteed to the operators.
         now = self._services.clock.seconds()
         if not self._services.steering.targets.accepts_work(self.attempt.target, now):
             connection.abort()
--- a/briarspur/gateway/following.py
+++ b/briarspur/gateway/following.py
@@ -29,7 +29,7 @@
 """Time after its start from which a process that received no news reads the store itself: the first
 value if it is among the first recorded entries of its group, the second one otherwise. When a whole
 fleet restarts, its members receive no news for a moment; if each of them then considered itself a
-reader, all of them would list everything."""
+reader, all of them would list all objects in the store."""
 UNKNOWN_SENDER_S = 0.5
 """Time for which the entry records may be read again after news from an entry without a record."""
 STARTUP_POLL_S = 0.02
@@ -42,9 +42,9 @@
 """Kinds that the second reader of a group follows through the news of the first reader.
 Registrations change all the time, so both readers read them."""
 FALLBACK_INTERVAL_S = 1.5
-"""Mean time between two calls of an entry that is not a reader, while the store doesn't answer its
-calls either. In an outage, a fleet of 91 entries then makes 60 calls per second, of 6,000 allowed.
-"""
+"""Mean time between two calls to the store by an entry that is not a reader, while its calls fail
+like those of the readers. In an outage, a fleet of 91 entries then makes 60 calls per second, of
+6,000 allowed."""
 
 
 class Following:
@@ -193,10 +193,11 @@
             self._reread_entries_until = self._clock() + UNKNOWN_SENDER_S
             return
         # An entry that reads the store itself needs no copies of registrations as long as the store
-        # answers: they change often, and it has just read them or is about to. But an entry whose
-        # call hung, and which therefore pulled no copies, sent requests to servers that had left
-        # until the call timed out 1.5 s later, and in a network partition for as long as that
-        # lasted. The other kinds change rarely, and their watches may hang unnoticed for 5 s.
+        # answers: they change often, and it has just read them or is about to. Without the check
+        # of whether the store answers, an entry whose call hung pulled no copies. It sent requests
+        # to servers that had left until the call timed out 1.5 s later, and in a network partition
+        # for as long as that lasted. The other kinds change rarely, and their watches may
+        # hang unnoticed for 5 s.
         reads_itself = self._is_reading() and self._store_answers()
         for kind in behind:
             if kind is not Kind.TARGETS or not reads_itself:
--- a/briarspur/gateway/quotas.py
+++ b/briarspur/gateway/quotas.py
@@ -11,8 +11,8 @@
 __all__ = ["OverQuota", "Quotas"]
 
 MIN_REPORTED_SHARE = 0.75
-"""Share of a limit from which a customer's usage is reported to all entries, with the requests
-expected soon included. Below it, no entry needs to know."""
+"""Share of a customer's limit from which its usage, including the requests expected soon, is
+reported to all entries. Below it, no entry needs the counts."""
 FIRST_NEWS_S = 2.0
 """Time after its start in which an entry does not yet know which entries are live."""
 RESTART_OVERAGE_SHARE = 0.8
@@ -177,7 +177,7 @@
         if self.knows_older_entry or age >= self.window:
             live_share = self.live / max(self.live, self.recorded)
             return 1.0 if age < FIRST_NEWS_S else live_share
-        # What the customer used before all entries started is unknown, but still counts.
+        # No known entry is older than this one: the usage before its start is unknown, but counts.
         spare = RESTART_OVERAGE_SHARE * (self._overage * quota.limit + self._slack)
         return min(1.0, age / self.window + spare / quota.limit)
 
--- a/briarspur/gateway/serverlimits.py
+++ b/briarspur/gateway/serverlimits.py
@@ -1,9 +1,9 @@
 """Enforces the limits that backend servers advertise in their responses, over all entries together.
 
 This covers the case where many entries send an overloaded server more requests than it accepts,
-while each entry receives only one response from it in seconds. Entries report to each other the
-limits that they received and how many requests they sent, and admit requests by the total, as they
-do for customers.
+while each entry receives a response from it only every few seconds. Entries report to each other
+the limits that they received and how many requests they sent, and admit requests by the total, as
+they do for customers.
 """
 
 from collections import Counter
@@ -24,21 +24,21 @@
 """Time over which the requests sent to a server are counted."""
 MIN_PER_S = 0.25
 """Requests per second that a server gets even if it advertises less: only a response can end its
-limit."""
+limit, and without requests there are none."""
 REPORT_FOR_S = 1.0
 """Time for which an entry reports a response to the others; it sends several messages in it."""
 RELAY_FOR_S = 2.0
 """Time for which an aggregator passes on what other entries reported to it."""
 REPORT_AGE_MARGIN_S = 0.1
-"""By how much a report must be newer than what is known. Reports seem newer than they are by the
-transit time of the news."""
+"""Time by which a report must be newer than the limit already known. Reports seem newer than they
+are by the transit time of the news."""
 MAX_HOPS = 2
 """Maximum number of entries that pass on a limit: a member's aggregator and that of another
 group. Each hop makes a limit seem newer by the transit time of the news; without a bound, entries
 would pass it around forever."""
 LIFTED_KEPT_S = 5.0
 """Time for which the end of a limit is remembered and reported. An entry that sends nothing to the
-server may not learn of it from any later response."""
+server receives no responses that would show it."""
 MAX_REPORTED = 40
 """Limits in one message, about 360 bytes; the newest are sent first."""
 HASH_RANGE = 1 << 32
@@ -123,7 +123,7 @@
                 item.per_s == limit.per_s
                 and now - item.age > limit.advertised_at - REPORT_AGE_MARGIN_S
             ):
-                # The same limit by a shorter path, so it may be relayed even if the other may not.
+                # The same limit came by a shorter path; with fewer hops, it may still be relayed.
                 limit.hops = min(limit.hops, item.hops + 1)
 
     def to_report(self, relays: bool, now: float) -> tuple[ReportedLimit, ...]:
--- a/briarspur/gateway/steering.py
+++ b/briarspur/gateway/steering.py
@@ -316,8 +316,8 @@
         self.limits.sent(target, now)
         target.breaker.sent()
         # A server holds an object as soon as it begins to work on it: of two overlapping requests
-        # only the first takes the cold time. The object is recorded as warm when the request is
-        # sent, so that later requests for it go to the same server and warm up no other one.
+        # only the first needs a cold run. The object is recorded as warm when the request is sent,
+        # so that later requests for it go to the same server and not to one that lacks it.
         first = work.key is not None and target.warmth.add(work.key)
         if first and work.key is not None:
             self.loads.record_own_warmed(target.number, work.key)
@@ -379,7 +379,7 @@
                 )
 
     def _retry_after(self, work: Work, now: float) -> float:
-        """Return seconds until a slot of the service may be free: its mean working time.
+        """Return the seconds until a slot may be free: the service's mean working time.
 
         If all servers are backing off, return the seconds until the first of them accepts requests.
         """
--- a/briarspur/pipeline.py
+++ b/briarspur/pipeline.py
@@ -193,7 +193,7 @@
             elif home is None:
                 self._fetch_outcome(each, holder or "", key, out)
             elif each.request.forwarded_by is not None:
-                # Two entries with different views would forward the request to each other forever.
+                # Otherwise entries with different views could forward it to each other forever.
                 self._requests.finish(each, Refusal(Code.HOME_UNREACHABLE, retry_after=1.0), out)
             else:
                 self._forward(each, home, now, out, to_home=True)
@@ -323,7 +323,7 @@
     ) -> None:
         """Finish a request after its last attempt, with the outcome as far as it is known."""
         if attempt.to_key_home:
-            # Only the home knows whether the copy sent there was run.
+            # Only the key's home knows whether the copy sent to it was run.
             refusal = Refusal(Code.HOME_UNREACHABLE, retry_after=1.0)
             self._requests.finish(work, refusal, out)
         elif work.kind is RequestKind.ONCE_ONLY and proof is None:
--- a/briarspur/requestdriver.py
+++ b/briarspur/requestdriver.py
@@ -236,7 +236,7 @@
     def _send(self, action: Dispatch | Forward) -> None:
         open_request = self._requests_by_id.get(action.request_id)
         if open_request is None:
-            # Its caller no longer waits, so the request is not sent; report just that.
+            # Its caller no longer waits, so the request is not sent; report that to the core.
             now = self._clock.seconds()
             self._actions.extend(
                 self._core.attempt_failed(action.attempt_id, Failure.NOT_SENT, now)
@@ -297,7 +297,7 @@
         try:
             settled = await self._keys.claim(action.key, action.body_digest)
         except Exception as error:
-            # The claim may have been stored in spite of the error; only "unsettled" is always true.
+            # The claim may have been stored in spite of the error, so its result is unknown.
             logs.event("internal-error", logging.ERROR, during="claim", error=repr(error))
             settled = SettledClaim(ClaimResult.UNSETTLED)
         now = self._clock.seconds()
